--- a/internal/fleettest/receiver_rig_test.go
+++ b/internal/fleettest/receiver_rig_test.go
@@ -25,6 +25,7 @@
 	Status   int           // instead of 200
 	Slow     time.Duration // before the answer
 	Silent   bool          // no answer until Conduct changes
+	Copies   CopyKind      // connections carry copies of answers; empty for none
 	LimitNow string        // report in the head of each answer, as the settings name it; empty for none
 }
 
@@ -38,6 +39,7 @@
 	changed chan struct{} // closed and renewed by each change of conduct
 	within  []time.Duration
 	serving bool
+	copiers uint64 // connections so far that carry copies
 }
 
 // Conduct changes a destination's behaviour.
@@ -58,6 +60,13 @@
 }
 
 func (d *destination) receive(sender string, out http.ResponseWriter, in *http.Request) {
+	d.mu.Lock()
+	copies := d.conduct.Copies
+	d.mu.Unlock()
+	if copies != "" {
+		newCopier(d, sender, copies).take(out, in)
+		return
+	}
 	d.r.rec.hold(sender, 1)
 	defer d.r.rec.hold(sender, -1)
 	text, err := httputil.DumpRequest(in, true)
