--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -118,6 +118,8 @@
 	p.settings, p.state, p.disk, p.room = settings, startup.StateDir(env), startup.Disk(c), startup.SpoolRoom(c)
 	up, idle := startup.Connections(settings)
 	p.pool = transport.NewPool(up, time.Duration(idleShare*float64(idle)), startup.Sockets(c)/callPart)
+	connections := part(p.log, "connections")
+	p.pool.Closed = func(c transport.Closing) { logClosing(connections, c) }
 	module := part(p.log, "module")
 	p.router = routing.New(startup.Seed(c), settings, p.clock.Now, p.pool.CloseIdle, func(text string) { module.Info(text) })
 	p.probeFor = up
--- a/internal/daemon/tally.go
+++ b/internal/daemon/tally.go
@@ -7,6 +7,7 @@
 
 	"ravenlink/choice"
 	"ravenlink/internal/routing"
+	"ravenlink/internal/transport"
 )
 
 // countLine writes how things stand.
@@ -18,7 +19,7 @@
 	if p.notes != nil {
 		dropped = p.notes.Dropped()
 	}
-	b, crowd := p.router.Believes(), p.server.Crowd()
+	b, crowd, conns := p.router.Believes(), p.server.Crowd(), p.pool.Counts()
 	leg := func(r routing.Result) int64 { return t.Legs[r].Load() }
 	fields := append(p.restLine(), zap.Int64("taken", t.Taken.Load()), zap.Int64("busy", p.front.Busy.Load()),
 		zap.Int64("refused", p.front.Refused.Load()), zap.Int64("delivered", t.Delivered.Load()),
@@ -34,11 +35,18 @@
 		zap.Int("clients_let_go_unserved", crowd.LetGoUnserved), zap.Int("clients_let_go_served", crowd.LetGoServed),
 		zap.Int("clients_quiet", crowd.Quiet), zap.Int("clients_begun", crowd.Begun), zap.Int("clients_crossed", crowd.Crossed),
 		zap.Int("owed", p.router.Owed()), zap.Int("notices_owed", p.notices.Owed()),
-		zap.Int("connections", p.pool.Open()), zap.Int("goroutines", runtime.NumGoroutine()),
+		zap.Int("connections", p.pool.Open()), zap.Int64("connections_made", conns.Made),
+		zap.Int64("connections_spoken", conns.Spoken), zap.Int("goroutines", runtime.NumGoroutine()),
 		zap.Uint64("heap_bytes", mem.HeapInuse))
 	p.log.Info("counts", append(fields, endFields(b.Ended)...)...)
 }
 
+// logClosing writes why a connection to a receiver ended.
+func logClosing(log *zap.Logger, c transport.Closing) {
+	log.Debug("connection closed", zap.String("receiver", c.Receiver), zap.Uint64("connection", c.Connection), zap.Int("calls", c.Exchanges),
+		zap.Stringer("why", c.Why))
+}
+
 // endFields tells why messages ended undelivered.
 func endFields(counts choice.EndCounts) (fields []zap.Field) {
 	for reason, n := range counts {
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -27,6 +27,7 @@
 // Carry is one leg.
 func (c *Calls) Carry(ctx context.Context, l relay.Leg) relay.Journey {
 	var answer protocol.Answer
+	var use relay.ConnectionUse
 	stage := c.pool.Do(ctx, l.To.ID, l.To.Addr, l.Patience, transport.Exchange{
 		Ready: l.Ready,
 		Still: l.Still,
@@ -34,10 +35,11 @@
 			wait := max(1, (l.Until-c.clock.Now())/microsInMilli)
 			return protocol.WriteCall(w, l.To.Addr, l.Msg.ID, l.Msg.Key, wait, l.Msg.Body)
 		},
-		Read: into(&answer),
+		Read:   into(&answer),
+		Begins: func(connection uint64, number int) { use = relay.ConnectionUse{Connection: connection, Number: number} },
 	})
 	res, wait := result(stage, answer)
-	return relay.Journey{Result: res, Wait: wait, Load: load(answer.Load), Stage: uint8(stage), Status: answer.Status}
+	return relay.Journey{Result: res, Wait: wait, Load: load(answer.Load), Stage: uint8(stage), Status: answer.Status, Use: use}
 }
 
 // Probe asks a receiver how it is. The module has one out for a receiver at most.
--- a/internal/relay/courier.go
+++ b/internal/relay/courier.go
@@ -426,7 +426,7 @@
 	late := e.saw(c, seen{sentAt: sentAt, took: took, receiver: p.Receiver.ID, result: j.Result, wait: j.Wait})
 	e.log.Debug("leg", zap.String("id", m.ID), zap.Int64("dst", m.Dst), zap.String("receiver", p.Receiver.ID), zap.Int("number", p.Number),
 		zap.Uint8("stage", j.Stage), zap.Int("status", j.Status), zap.Int64("took_us", took),
-		zap.Duration("patience", patience), zap.Int64("wait_us", j.Wait))
+		zap.Duration("patience", patience), zap.Int64("wait_us", j.Wait), zap.Uint64("connection", j.Use.Connection), zap.Int("call_on_it", j.Use.Number))
 	e.outcome(c, j.Result)
 	if turnLost { // before it counts as over: from then on the same message may be resumed
 		e.router.TookBack(p)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,8 +70,15 @@
 	Result routing.Result
 	Wait   int64 // µs told by a refusal, 0 for none
 	Load   routing.Load
-	Stage  uint8 // for logs
-	Status int   // for logs
+	Stage  uint8         // for logs
+	Status int           // for logs
+	Use    ConnectionUse // for logs
+}
+
+// ConnectionUse is the connection that a leg took, and the how manyth call it was there, from 1; zero for a leg that was not sent.
+type ConnectionUse struct {
+	Connection uint64
+	Number     int
 }
 
 // Carrier is a way in which legs travel. Carry returns when the leg has an outcome, and soon after ctx ends.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -128,9 +128,14 @@
 	ended              // closed by the other side, or broken
 )
 
-// quiet tells whether a connection that waits for nothing is still up and has brought nothing that nobody asked
+// sightAtRest looks whether a connection that waits for nothing is still up and has brought nothing that nobody asked
 // for: such bytes, wherever they stand, must never pass for the next answer. It takes off the time limit for reading.
-func (c *Conn) quiet() bool { return c.SetReadDeadline(time.Time{}) == nil && c.look() == still }
+func (c *Conn) sightAtRest() sight {
+	if c.SetReadDeadline(time.Time{}) != nil {
+		return ended
+	}
+	return c.look()
+}
 
 // look is within the time limit for reading: past it, a connection counts as ended.
 func (c *Conn) look() sight {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -18,10 +18,13 @@
 	pool     *Pool
 	receiver string
 	addr     string
-	conn     *Conn
-	job      *job // handed over under the pool's lock
-	closing  bool // likewise
-	followed bool // likewise: another one has its place among the open ones
+	conn     *Conn       // nil while there is none
+	id       uint64      // of the connection, from 1
+	number   int         // exchanges that began on it
+	why      CloseReason // set before it is closed
+	job      *job        // handed over under the pool's lock
+	closing  bool        // likewise
+	followed bool        // likewise: another one has its place among the open ones
 	since    time.Time
 	follows  *link         // whose place it has; nil if there was room
 	gone     chan struct{} // closed once its connection is
@@ -63,9 +66,7 @@
 
 // leave closes the connection and then counts it off, before anyone hears of a job's end: it frees the slot over there.
 func (l *link) leave() {
-	if l.conn != nil {
-		_ = l.conn.Close()
-	}
+	l.disconnect()
 	close(l.gone)
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
@@ -75,6 +76,16 @@
 	}
 }
 
+// disconnect closes the connection, if there is one, for the reason that was set.
+func (l *link) disconnect() {
+	if l.conn == nil {
+		return
+	}
+	_ = l.conn.Close()
+	l.conn = nil
+	l.pool.closed(Closing{Receiver: l.receiver, Connection: l.id, Exchanges: l.number, Why: l.why})
+}
+
 // rest lists the connection as idle, before anyone hears of the job's end.
 func (l *link) rest() {
 	p := l.pool
@@ -89,16 +100,27 @@
 
 // wait sits on an idle connection until a job comes, it gets too old or the other side closes it.
 func (l *link) wait() *job {
-	_, _ = l.conn.R.Peek(1)
+	_, err := l.conn.R.Peek(1)
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.job == nil && !l.closing {
-		p.shut(l)
+		p.shut(l, endOfRest(err))
 	}
 	return l.job
 }
 
+// endOfRest is why a wait on an idle connection ended.
+func endOfRest(err error) CloseReason {
+	switch {
+	case err == nil:
+		return SpokeAtRest
+	case isTimeout(err):
+		return IdleTooLong
+	}
+	return EndedAtRest
+}
+
 func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
@@ -106,7 +128,7 @@
 
 // serve makes one exchange and tells whether the connection can be kept.
 func (l *link) serve(j *job) (kept bool) {
-	used := l.conn != nil && l.young() && l.conn.quiet()
+	used := l.conn != nil && l.usable()
 	if !used && !l.dial(j) {
 		return false
 	}
@@ -121,6 +143,19 @@
 	return kept
 }
 
+// usable tells whether a connection that rested may be used, and notes why not.
+func (l *link) usable() bool {
+	if !l.young() {
+		l.why = IdleTooLong
+		return false
+	}
+	seen := l.conn.sightAtRest()
+	if seen != still {
+		l.why = atRest(seen)
+	}
+	return seen == still
+}
+
 // exchange makes it on a connection that is up. spoilt: one used before went bad with nothing of the job written.
 func (l *link) exchange(j *job, used bool) (kept, spoilt bool) {
 	conn := l.conn
@@ -128,6 +163,7 @@
 	defer stop()
 	_ = conn.SetDeadline(j.until)
 	begun, gone := false, false
+	l.why = CallFailed
 	conn.first = func() bool {
 		if !j.still() {
 			return false
@@ -136,8 +172,14 @@
 		// connection that was closed meanwhile counts as one that may have run.
 		seen := conn.look()
 		spoilt = used && (seen != still || !l.young())
+		if spoilt {
+			l.why = atRest(seen)
+		}
 		gone = !used && seen == ended // what it has brought may be a refusal, for which no call is needed
 		begun = !spoilt && !gone
+		if begun {
+			l.begins(j)
+		}
 		return begun
 	}
 	if err := j.x.Write(conn.W); err != nil || conn.Flush() != nil {
@@ -162,7 +204,13 @@
 	switch {
 	case err == nil:
 		j.stage = Done
-		return keep && stop() && conn.quiet(), false
+		l.why = AnsweredLast
+		if !keep || !stop() {
+			return false, false
+		}
+		seen := conn.sightAtRest()
+		l.why = atRest(seen)
+		return seen == still, false
 	case told:
 		j.stage = Done
 	case j.ctx.Err() != nil && isTimeout(err):
@@ -176,6 +224,14 @@
 	return false, false
 }
 
+// begins counts an exchange whose first byte is about to leave.
+func (l *link) begins(j *job) {
+	l.number++
+	if j.x.Begins != nil {
+		j.x.Begins(l.id, l.number)
+	}
+}
+
 // young tells whether an idle connection may be used: its goroutine may come late to close it.
 func (l *link) young() bool { return time.Since(l.since) < l.pool.idleFor }
 
@@ -187,17 +243,15 @@
 
 // dial has a new connection in the place of the old one, if any, or ends the job.
 func (l *link) dial(j *job) bool {
-	if l.conn != nil {
-		_ = l.conn.Close()
-	}
+	l.disconnect()
 	until := earlier(j.until, time.Now().Add(l.pool.upWithin))
 	c, err := l.pool.connect(j.ctx, j.addr, until)
 	for noDescriptor(err) && restUntil(j.ctx, until) {
 		c, err = l.pool.connect(j.ctx, j.addr, until)
 	}
-	l.conn = c
 	switch {
 	case err == nil:
+		l.conn, l.id, l.number = c, uint64(l.pool.made.Add(1)), 0
 		return true
 	case j.ctx.Err() != nil:
 		j.stage = NotReady
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -5,6 +5,7 @@
 	"context"
 	"slices"
 	"sync"
+	"sync/atomic"
 	"time"
 )
 
@@ -29,6 +30,9 @@
 	Still func() bool                 // asked last, right before the first byte leaves; nil for no question. It must not wait for I/O
 	Write func(w *bufio.Writer) error // comes again, with Still, for another connection where this one went bad with no byte of it out
 	Read  func(r *bufio.Reader, told func()) (keep bool, err error)
+
+	// Begins, where set, hears right before the first byte on which connection the exchange goes, and the how manyth it is there, from 1.
+	Begins func(connection uint64, number int)
 }
 
 // restWithin is for the rest of an answer, once Read has called told: what has come decides, and the exchange is Done whatever
@@ -42,6 +46,11 @@
 	most              int
 	connect           func(ctx context.Context, addr string, until time.Time) (*Conn, error)
 
+	// Closed, where it is set before the first exchange, hears of each connection's end. It must not block.
+	Closed func(Closing)
+
+	made, spoken atomic.Int64
+
 	mu   sync.Mutex
 	idle map[string][]*link // by receiver, newest last; emptied as connections close
 	left []*link            // were idle, are about to close, and nobody has their place yet
@@ -71,7 +80,7 @@
 func (p *Pool) hand(receiver string, j *job) bool {
 	for _, l := range slices.Clone(p.idle[receiver]) {
 		if l.addr != j.addr {
-			p.shut(l)
+			p.shut(l, NotWanted)
 		}
 	}
 	if ls := p.idle[receiver]; len(ls) > 0 {
@@ -115,14 +124,14 @@
 	if oldest == nil {
 		return false
 	}
-	p.shut(oldest)
+	p.shut(oldest, GaveWay)
 	return true
 }
 
 // shut has an idle link's goroutine close it. The lock is held.
-func (p *Pool) shut(l *link) {
+func (p *Pool) shut(l *link, why CloseReason) {
 	p.dropIdle(l)
-	l.closing = true
+	l.closing, l.why = true, why
 	p.left = append(p.left, l)
 	l.wake()
 }
@@ -132,7 +141,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range slices.Clone(p.idle[receiver]) {
-		p.shut(l)
+		p.shut(l, NotWanted)
 	}
 }
 
@@ -143,13 +152,26 @@
 	return p.open
 }
 
+// Counts tells of the connections since the start.
+func (p *Pool) Counts() Counts { return Counts{Made: p.made.Load(), Spoken: p.spoken.Load()} }
+
+// closed tells of a connection's end.
+func (p *Pool) closed(c Closing) {
+	if c.Why == SpokeAtRest {
+		p.spoken.Add(1)
+	}
+	if p.Closed != nil {
+		p.Closed(c)
+	}
+}
+
 // Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, ls := range p.idle {
 		for _, l := range slices.Clone(ls) {
-			p.shut(l)
+			p.shut(l, NotWanted)
 		}
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -732,20 +732,20 @@
 	for _, extra := range []string{"HTTP/1.1 200 OK", ""} {
 		c, err := connect(context.Background(), f.addr, time.Now().Add(long))
 		require.NoError(t, err)
-		assert.True(t, c.quiet())
+		assert.Equal(t, still, c.sightAtRest())
 		if extra != "" {
 			send <- extra
 		} else {
 			close(send)
 		}
-		assert.Eventually(t, func() bool { return !c.quiet() }, long, time.Millisecond, "in the kernel, or closed")
+		assert.Eventually(t, func() bool { return c.sightAtRest() != still }, long, time.Millisecond, "in the kernel, or closed")
 		if extra != "" {
 			_, err = c.R.ReadByte()
 			require.NoError(t, err)
-			assert.False(t, c.quiet(), "in the parser's buffer")
+			assert.Equal(t, spoke, c.sightAtRest(), "in the parser's buffer")
 			c.R.Reset(c)
 			c.in.filled(copy(c.in.space(), "x"))
-			assert.False(t, c.quiet(), "in the ring")
+			assert.Equal(t, spoke, c.sightAtRest(), "in the ring")
 		}
 		_ = c.Close()
 	}
