--- a/internal/fleettest/copied_answers_rig_test.go
+++ b/internal/fleettest/copied_answers_rig_test.go
@@ -30,6 +30,7 @@
 
 const (
 	copyShare   = 0.06                   // of the calls on a connection used before
+	copyAlone   = 0.02                   // the same where the own answer never comes: more, and the receiver counts as one that hangs
 	copyRefusal = 0.5                    // the same behind a call that was refused: a copy of a refusal
 	copyDelay   = 9 * time.Millisecond   // at most, from a call's last byte to a copy
 	copyFar     = 400 * time.Millisecond // from a copy to the own answer at least, and as much more at most
@@ -115,7 +116,10 @@
 // used decides whether the call whose first byte has come has a copy.
 func (c *copiedConn) used() {
 	share := copyShare
-	if c.refused {
+	switch {
+	case c.kind == CopyInPlace || c.kind == CopyBeforeAnEnd:
+		share = copyAlone
+	case c.refused:
 		share = copyRefusal
 	}
 	c.doubles = c.before != "" && c.chance() < share
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -3,6 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"errors"
+	"fmt"
+	"sync/atomic"
 	"time"
 
 	"ravenlink/internal/protocol"
@@ -17,6 +20,8 @@
 	clock     relay.Clock
 	router    *routing.Router
 	probeLoad bool // probes ask for a report
+
+	Foreign atomic.Int64 // answers that came for a call and were not its own
 }
 
 // NewCalls makes a carrier over a pool of connections.
@@ -31,11 +36,11 @@
 	stage := c.pool.Do(ctx, l.To.ID, l.To.Addr, l.Patience, transport.Exchange{
 		Ready: l.Ready,
 		Still: l.Still,
-		Write: func(w *bufio.Writer) error {
+		Write: func(w *bufio.Writer, closing bool) error {
 			wait := max(1, (l.Until-c.clock.Now())/microsInMilli)
-			return protocol.WriteCall(w, l.To.Addr, l.Msg.ID, l.Msg.Key, wait, l.Msg.Body)
+			return protocol.WriteCall(w, l.To.Addr, l.Msg.ID, l.Msg.Key, wait, l.Msg.Body, closing)
 		},
-		Read:   into(&answer),
+		Read:   into(&answer, func(int64) {}, &c.Foreign),
 		Begins: func(connection uint64, number int) { use = relay.ConnectionUse{Connection: connection, Number: number} },
 	})
 	res, wait := result(stage, answer)
@@ -48,8 +53,10 @@
 	stage := c.pool.Do(ctx, to.ID, to.Addr, patience, transport.Exchange{
 		Ready: func() bool { return c.router.Reachable(to) },
 		Still: func() bool { return c.router.Reachable(to) }, // a further connection may have been opened since
-		Write: func(w *bufio.Writer) error { return protocol.WriteProbe(w, to.Addr, c.probeLoad) },
-		Read:  into(&a),
+		Write: func(w *bufio.Writer, closing bool) error {
+			return protocol.WriteProbe(w, to.Addr, c.probeLoad, closing)
+		},
+		Read: into(&a, func(int64) {}, &c.Foreign),
 	})
 	res, _ := result(stage, a)
 	c.router.Probed(to, res, load(probed(a)))
@@ -63,11 +70,21 @@
 	return a.Body
 }
 
-// into reads an exchange's answer.
-func into(a *protocol.Answer) func(r *bufio.Reader, told func()) (keep bool, err error) {
-	return func(r *bufio.Reader, told func()) (keep bool, err error) {
-		*a, err = protocol.ReadAnswer(r, told)
-		return !a.Close, err
+// into reads an exchange's answer, and counts answers in front of it that were not its own.
+func into(a *protocol.Answer, waited func(micros int64), foreign *atomic.Int64) func(*bufio.Reader, transport.Reading) (bool, error) {
+	return func(r *bufio.Reader, in transport.Reading) (keep bool, err error) {
+		if !in.Closing {
+			*a, err = protocol.ReadAnswer(r, in.Told)
+			return !a.Close, err
+		}
+		var passed int
+		*a, passed, err = protocol.ReadClosingAnswer(r, protocol.Hearing{Told: in.Told, Whole: in.Whole, Waited: waited})
+		foreign.Add(int64(passed))
+		a.Close = false // it was asked for, and says nothing of the receiver
+		if errors.Is(err, protocol.ErrNotOwn) {
+			err = fmt.Errorf("%w: %w", transport.ErrNotOwn, err)
+		}
+		return false, err
 	}
 }
 
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -5,6 +5,7 @@
 	"context"
 	"math/rand/v2"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -34,6 +35,8 @@
 	agent *Agent
 	most  int // notices in the next post; Run's alone
 
+	Foreign atomic.Int64 // answers that came for a post and were not its own
+
 	mu      sync.Mutex
 	waiting []relay.Undelivered // bounded by the spool's room
 	more    chan struct{}
@@ -107,8 +110,8 @@
 	var a protocol.Answer
 	stage := n.do(ctx, platform, addr, patience, transport.Exchange{
 		Ready: func() bool { return true },
-		Write: func(w *bufio.Writer) error { return protocol.WriteNotices(w, addr, lines) },
-		Read:  into(&a),
+		Write: func(w *bufio.Writer, closing bool) error { return protocol.WriteNotices(w, addr, lines, closing) },
+		Read:  into(&a, func(int64) {}, &n.Foreign),
 	})
 	switch {
 	case stage == transport.Done && a.Status == 204:
--- a/internal/platform/notices_test.go
+++ b/internal/platform/notices_test.go
@@ -36,7 +36,7 @@
 		posts++
 		var out bytes.Buffer
 		w := bufio.NewWriter(&out)
-		require.NoError(t, x.Write(w))
+		require.NoError(t, x.Write(w, false))
 		require.NoError(t, w.Flush())
 		in, err := http.ReadRequest(bufio.NewReader(&out))
 		require.NoError(t, err)
@@ -59,7 +59,7 @@
 				told[id]++
 			}
 		}
-		_, err = x.Read(bufio.NewReader(strings.NewReader("HTTP/1.1 "+answer+"\r\nContent-Length: 0\r\n\r\n")), func() {})
+		_, err = x.Read(bufio.NewReader(strings.NewReader("HTTP/1.1 "+answer+"\r\nContent-Length: 0\r\n\r\n")), transport.Reading{Told: func() {}})
 		require.NoError(t, err)
 		return transport.Done
 	}
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -21,24 +21,27 @@
 
 var httpMark = []byte("HTTP/1.")
 
-// WriteCall writes a leg's call to a receiver.
-func WriteCall(w *bufio.Writer, host, id, key string, waitMillis int64, body []byte) error {
+// WriteCall writes a leg's call to a receiver. A closing request asks for the connection to be closed behind its answer.
+func WriteCall(w *bufio.Writer, host, id, key string, waitMillis int64, body []byte, closing bool) error {
 	fmt.Fprintf(w, "POST /events HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\n", host, id)
 	if key != "" {
 		fmt.Fprintf(w, "Idempotency-Key: %s\r\n", key)
 	}
+	writeClosing(w, closing)
 	fmt.Fprintf(w, "X-Remaining-Ms: %d\r\nContent-Length: %d\r\n\r\n", waitMillis, len(body))
 	_, err := w.Write(body)
 	return err
 }
 
 // WriteProbe asks a receiver how it is.
-func WriteProbe(w *bufio.Writer, host string, load bool) error {
+func WriteProbe(w *bufio.Writer, host string, load, closing bool) error {
 	path := alivePath
 	if load {
 		path = loadPath
 	}
-	_, err := fmt.Fprintf(w, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, host)
+	fmt.Fprintf(w, "GET %s HTTP/1.1\r\nHost: %s\r\n", path, host)
+	writeClosing(w, closing)
+	_, err := w.WriteString("\r\n")
 	return err
 }
 
@@ -49,13 +52,21 @@
 }
 
 // WriteNotices posts notices to the platform.
-func WriteNotices(w *bufio.Writer, host string, lines []byte) error {
-	fmt.Fprintf(w, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n",
-		noticesPath, host, len(lines))
+func WriteNotices(w *bufio.Writer, host string, lines []byte, closing bool) error {
+	fmt.Fprintf(w, "POST %s HTTP/1.1\r\nHost: %s\r\n", noticesPath, host)
+	writeClosing(w, closing)
+	fmt.Fprintf(w, "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(lines))
 	_, err := w.Write(lines)
 	return err
 }
 
+// writeClosing writes the field of a closing request.
+func writeClosing(w *bufio.Writer, closing bool) {
+	if closing {
+		_, _ = w.WriteString("Connection: close\r\n")
+	}
+}
+
 // AppendNotice appends the notice of a message's end: pushed back, or failed.
 func AppendNotice(b []byte, id string, pushedBack bool, afterMillis int64) []byte {
 	b = append(b, `{"id":"`...)
@@ -89,12 +100,27 @@
 	length     int
 }
 
+// heard is called with an answer's head as far as it has come: after its first line, after each field, and at its end, which ended tells.
+type heard func(a *Answer, ended bool)
+
+// decides tells whether what has come of an answer decides on its call whatever follows: the first line with 200, a 429's wait, or any head.
+func (a *Answer) decides(headEnded bool) bool {
+	return a.Status == 200 || a.Status == 429 && a.WaitMicros > 0 || headEnded && a.Status > 200
+}
+
 // ReadAnswer reads an answer with its body. It calls told, maybe more than once, when what has come decides on the call whatever
-// follows: the first line with 200, a 429's wait, or any head. What was read of the answer stands in it even when the rest does not
-// come: a Status means that the first line came whole.
+// follows. What was read of the answer stands in it even when the rest does not come: a Status means that the first line came whole.
 func ReadAnswer(r *bufio.Reader, told func()) (a Answer, err error) {
+	return readAnswer(r, func(a *Answer, ended bool) {
+		if a.decides(ended) {
+			told()
+		}
+	})
+}
+
+func readAnswer(r *bufio.Reader, on heard) (a Answer, err error) {
 	for range mostInterim {
-		if a, err = readHead(r, told); err != nil || a.Status >= 200 {
+		if a, err = readHead(r, on); err != nil || a.Status >= 200 {
 			break
 		}
 	}
@@ -122,9 +148,9 @@
 }
 
 // ReadHead reads an answer up to its body.
-func ReadHead(r *bufio.Reader) (a Answer, err error) { return readHead(r, func() {}) }
+func ReadHead(r *bufio.Reader) (a Answer, err error) { return readHead(r, func(*Answer, bool) {}) }
 
-func readHead(r *bufio.Reader, told func()) (a Answer, err error) {
+func readHead(r *bufio.Reader, on heard) (a Answer, err error) {
 	line, err := readLine(r)
 	if err != nil {
 		return a, err
@@ -140,9 +166,7 @@
 	}
 	a.Close = string(version) == "HTTP/1.0"
 	a.Status = status
-	if status == 200 {
-		told()
-	}
+	on(&a, false)
 	var spoilt error // of a field: it does not change what the status says
 	for range mostFields {
 		line, err := readLine(r)
@@ -150,19 +174,15 @@
 			return a, unexpected(err)
 		}
 		if len(line) == 0 {
-			if status >= 200 {
-				told()
-			}
+			on(&a, true)
 			return a, spoilt
 		}
 		name, value, found := strings.Cut(string(line), ":")
-		if !found {
+		if !found || strings.HasPrefix(name, string(httpMark)) { // danger: an older answer's head, cut, runs into the next status line
 			return a, malformed("no header field: %.40q", line)
 		}
 		spoilt = cmp.Or(spoilt, a.field(strings.ToLower(name), strings.TrimSpace(value)))
-		if status == 429 && a.WaitMicros > 0 {
-			told()
-		}
+		on(&a, false)
 	}
 	return a, malformed("more than %d header fields", mostFields)
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -137,10 +137,21 @@
 func TestCallsAndNoticesAsThePagesShowThem(t *testing.T) {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	require.NoError(t, WriteCall(w, "h:1", "9b1f", "5c0f", 1500, []byte("b\x00")))
-	require.NoError(t, w.Flush())
-	assert.Equal(t, "POST /events HTTP/1.1\r\nHost: h:1\r\nX-Txn: 9b1f\r\nIdempotency-Key: 5c0f\r\nX-Remaining-Ms: 1500\r\n"+
-		"Content-Length: 2\r\n\r\nb\x00", out.String())
+	for closing, field := range map[bool]string{false: "", true: "Connection: close\r\n"} {
+		out.Reset()
+		require.NoError(t, WriteCall(w, "h:1", "9b1f", "5c0f", 1500, []byte("b\x00"), closing))
+		require.NoError(t, w.Flush())
+		assert.Equal(t, "POST /events HTTP/1.1\r\nHost: h:1\r\nX-Txn: 9b1f\r\nIdempotency-Key: 5c0f\r\n"+field+"X-Remaining-Ms: 1500\r\n"+
+			"Content-Length: 2\r\n\r\nb\x00", out.String())
+		out.Reset()
+		require.NoError(t, WriteProbe(w, "h:1", true, closing))
+		require.NoError(t, w.Flush())
+		assert.Equal(t, "GET /metrics/load HTTP/1.1\r\nHost: h:1\r\n"+field+"\r\n", out.String())
+		out.Reset()
+		require.NoError(t, WriteNotices(w, "h:1", []byte("{}\n"), closing))
+		require.NoError(t, w.Flush())
+		assert.Equal(t, "POST /v2/finals HTTP/1.1\r\nHost: h:1\r\n"+field+"Content-Type: application/json\r\nContent-Length: 3\r\n\r\n{}\n", out.String())
+	}
 	lines := AppendNotice(AppendNotice(AppendNotice(nil, "a", false, 9), "b", true, 500), "c", true, 0)
 	assert.Equal(t, `{"id":"a","state":"failed"}`+"\n"+`{"id":"b","state":"returned","after_ms":500}`+"\n"+
 		`{"id":"c","state":"returned"}`+"\n", string(lines))
--- a/internal/transport/closing.go
+++ b/internal/transport/closing.go
@@ -36,6 +36,7 @@
 
 // Counts are connections of a pool since its start.
 type Counts struct {
-	Made   int64 // connected
-	Spoken int64 // closed because they brought bytes that no call had asked for
+	Made    int64 // connected
+	Spoken  int64 // closed because they brought bytes that no call had asked for
+	Doubted int64 // closed because answers came to a closing request, and none was known to be its own
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -5,12 +5,17 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net"
+	"os"
 	"syscall"
 	"time"
 )
 
-const bufferSize = 512 // bytes for the parsers, beside the rings
+const (
+	bufferSize = 512 // bytes for the parsers, beside the rings
+	lateReads  = 4   // of an answer whose time is up: it may have come in two pieces, with the connection's end behind it
+)
 
 // Conn is a connection with a ring a direction. One goroutine reads and writes it; others may only close it
 // or move its time limits.
@@ -21,7 +26,7 @@
 	W       *bufio.Writer
 
 	first func() bool // asked once, right before the next byte goes out: whether it may; nil for no question
-	last  bool        // once, a read whose time is up takes what has come
+	late  int         // reads whose time is up that still take what has come
 }
 
 var errNotNow = errors.New("write: not any more")
@@ -40,9 +45,9 @@
 func (c *Conn) Read(p []byte) (int, error) {
 	if c.in.held == 0 {
 		n, err := c.Conn.Read(c.in.space())
-		if n == 0 && c.last && isTimeout(err) {
-			c.last = false
-			n = c.come(c.in.space())
+		if n == 0 && c.late > 0 && isTimeout(err) {
+			c.late--
+			n, err = c.come(c.in.space())
 		}
 		c.in.filled(n)
 		if n == 0 {
@@ -54,15 +59,28 @@
 	return n, nil
 }
 
-// come reads what is there, whatever the time. Danger: an answer that came in time and was not read in time, by a process that was
+// come reads what is there, or the end, whatever the time. Danger: an answer that came in time and was not read in time, by a process that was
 // stopped or had much to do, would be lost, and a wait that it tells with it.
-func (c *Conn) come(p []byte) (n int) {
-	if raw, ok := c.Conn.(syscall.Conn); ok {
-		if under, err := raw.SyscallConn(); err == nil {
-			_ = under.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT) })
-		}
+func (c *Conn) come(p []byte) (n int, err error) {
+	err = os.ErrDeadlineExceeded
+	raw, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return 0, err
+	}
+	under, failed := raw.SyscallConn()
+	if failed != nil {
+		return 0, err
 	}
-	return max(0, n)
+	_ = under.Control(func(fd uintptr) {
+		switch got, _, failed := syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT); {
+		case failed != nil:
+		case got == 0:
+			err = io.EOF
+		default:
+			n, err = got, nil
+		}
+	})
+	return n, err
 }
 
 // Write fills the ring, which goes out when full.
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -163,6 +163,7 @@
 	defer stop()
 	_ = conn.SetDeadline(j.until)
 	begun, gone := false, false
+	closing := closes(l.number)
 	l.why = CallFailed
 	conn.first = func() bool {
 		if !j.still() {
@@ -182,7 +183,7 @@
 		}
 		return begun
 	}
-	if err := j.x.Write(conn.W); err != nil || conn.Flush() != nil {
+	if err := j.x.Write(conn.W, closing); err != nil || conn.Flush() != nil {
 		switch j.stage = NotReady; {
 		case begun:
 			j.stage = NotWritten
@@ -192,20 +193,12 @@
 		}
 		return false, spoilt
 	}
-	told := false
-	conn.last = true
-	keep, err := j.x.Read(conn.R, func() {
-		if !told {
-			_ = conn.SetReadDeadline(earlier(j.until, time.Now().Add(restWithin))) // called off just now, it ends no later either
-		}
-		told = true
-	})
-	conn.last = false
+	keep, told, err := l.read(j, closing)
 	switch {
 	case err == nil:
 		j.stage = Done
 		l.why = AnsweredLast
-		if !keep || !stop() {
+		if !keep || closing || !l.pool.mayRest(l) || !stop() {
 			return false, false
 		}
 		seen := conn.sightAtRest()
@@ -220,10 +213,35 @@
 	default:
 		j.stage = Broken
 	}
+	if errors.Is(err, ErrNotOwn) {
+		l.pool.doubt(l.receiver)
+	}
 	conn.drop()
 	return false, false
 }
 
+// read has the exchange read its answer, and tells whether what came of it decides.
+func (l *link) read(j *job, closing bool) (keep, told bool, err error) {
+	conn := l.conn
+	conn.late = lateReads
+	defer func() { conn.late = 0 }()
+	keep, err = j.x.Read(conn.R, Reading{Closing: closing,
+		Told: func() {
+			if !told {
+				_ = conn.SetReadDeadline(earlier(j.until, time.Now().Add(restWithin))) // called off just now, it ends no later either
+			}
+			told = true
+		},
+		Whole: func() {
+			told = false
+			_ = conn.SetReadDeadline(j.until)
+			if j.ctx.Err() != nil { // called off before: that limit was put off
+				_ = conn.SetReadDeadline(time.Unix(1, 0))
+			}
+		}})
+	return keep, told, err
+}
+
 // begins counts an exchange whose first byte is about to leave.
 func (l *link) begins(j *job) {
 	l.number++
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -26,16 +27,26 @@
 
 // Exchange is one call on a connection.
 type Exchange struct {
-	Ready func() bool                 // asked with the connection up, before anything is written; may take a moment
-	Still func() bool                 // asked last, right before the first byte leaves; nil for no question. It must not wait for I/O
-	Write func(w *bufio.Writer) error // comes again, with Still, for another connection where this one went bad with no byte of it out
-	Read  func(r *bufio.Reader, told func()) (keep bool, err error)
+	Ready func() bool                               // asked with the connection up, before anything is written; may take a moment
+	Still func() bool                               // asked last, right before the first byte leaves; nil for no question. It must not wait for I/O
+	Write func(w *bufio.Writer, closing bool) error // a closing request asks for the connection to be closed behind its answer. It comes again, with Still, for another connection where this one went bad with no byte of it out
+	Read  func(r *bufio.Reader, in Reading) (keep bool, err error)
 
 	// Begins, where set, hears right before the first byte on which connection the exchange goes, and the how manyth it is there, from 1.
 	Begins func(connection uint64, number int)
 }
 
-// restWithin is for the rest of an answer, once Read has called told: what has come decides, and the exchange is Done whatever
+// Reading is how the answer to an exchange is to be read.
+type Reading struct {
+	Closing bool   // the request asked for the connection to be closed
+	Told    func() // to be called once what has come decides: the rest has restWithin
+	Whole   func() // to be called once only the connection's end is waited for: for that there is the whole patience
+}
+
+// ErrNotOwn is for Read to wrap: answers came, and none is known to be the exchange's own.
+var ErrNotOwn = errors.New("no answer is known to be the call's own")
+
+// restWithin is for the rest of an answer, once Read has called Told: what has come decides, and the exchange is Done whatever
 // follows. Answers are written at once, and a wait that one tells binds 100 ms later. Danger: a body that never ends would hold back
 // the wait until the patience is over, and calls would go out within it.
 const restWithin = 80 * time.Millisecond
@@ -49,17 +60,18 @@
 	// Closed, where it is set before the first exchange, hears of each connection's end. It must not block.
 	Closed func(Closing)
 
-	made, spoken atomic.Int64
+	made, spoken, doubted atomic.Int64
 
 	mu   sync.Mutex
 	idle map[string][]*link // by receiver, newest last; emptied as connections close
 	left []*link            // were idle, are about to close, and nobody has their place yet
 	open int                // bounded by most; a connection counts until it is closed
+	uses uses
 }
 
 // NewPool makes a pool of at most so many connections, which are kept for idleFor when idle.
 func NewPool(upWithin, idleFor time.Duration, most int) *Pool {
-	return &Pool{upWithin: upWithin, idleFor: idleFor, most: most, connect: connect, idle: map[string][]*link{}}
+	return &Pool{upWithin: upWithin, idleFor: idleFor, most: most, connect: connect, idle: map[string][]*link{}, uses: newUses()}
 }
 
 // Do makes one exchange with a receiver and waits for its end. Ending ctx calls it off.
@@ -152,8 +164,25 @@
 	return p.open
 }
 
+// mayRest tells whether a link's connection may be kept for another exchange.
+func (p *Pool) mayRest(l *link) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.uses.mayRest(l.receiver, time.Now())
+}
+
+// doubt has the connections to a receiver carry one exchange each for a while.
+func (p *Pool) doubt(receiver string) {
+	p.doubted.Add(1)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.uses.doubt(receiver, time.Now())
+}
+
 // Counts tells of the connections since the start.
-func (p *Pool) Counts() Counts { return Counts{Made: p.made.Load(), Spoken: p.spoken.Load()} }
+func (p *Pool) Counts() Counts {
+	return Counts{Made: p.made.Load(), Spoken: p.spoken.Load(), Doubted: p.doubted.Load()}
+}
 
 // closed tells of a connection's end.
 func (p *Pool) closed(c Closing) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -70,8 +70,8 @@
 // say exchanges a line; got is what came back.
 func say(text string, got *string) Exchange {
 	return Exchange{Ready: func() bool { return true },
-		Write: func(w *bufio.Writer) error { _, err := w.WriteString(text + "\n"); return err },
-		Read: func(r *bufio.Reader, _ func()) (bool, error) {
+		Write: func(w *bufio.Writer, _ bool) error { _, err := w.WriteString(text + "\n"); return err },
+		Read: func(r *bufio.Reader, _ Reading) (bool, error) {
 			line, err := r.ReadString('\n')
 			*got = strings.TrimSpace(line)
 			return true, err
@@ -87,15 +87,23 @@
 	return p
 }
 
-func TestConnectionIsKeptAndCarriesOneCallAtATime(t *testing.T) {
+func TestConnectionIsKeptForOneMoreCallAndCarriesOneAtATime(t *testing.T) {
 	f := farSide(t, echo)
 	p := pool(t, long, 9)
-	for _, text := range []string{"one", "two", strings.Repeat("x", 200_000)} {
+	for i, text := range []string{"one", strings.Repeat("x", 200_000), "three", "four"} {
 		var got string
-		require.Equal(t, Done, p.Do(context.Background(), "r", f.addr, long, say(text, &got)))
+		x, closes := say(text, &got), false
+		write := x.Write
+		x.Write = func(w *bufio.Writer, closing bool) error {
+			closes = closing
+			return write(w, closing)
+		}
+		require.Equal(t, Done, p.Do(context.Background(), "r", f.addr, long, x))
 		assert.Equal(t, text, got)
+		assert.EqualValues(t, 1+i/2, f.conns.Load())
+		assert.Equal(t, i%2 == 1, closes, "the second call is the last one, and asks for the connection to be closed")
+		assert.Equal(t, 1-i%2, p.Open())
 	}
-	assert.EqualValues(t, 1, f.conns.Load())
 }
 
 func TestClosedIdleConnectionsAreNotUsedAgain(t *testing.T) {
@@ -163,7 +171,7 @@
 	assert.Equal(t, NotReady, p.Do(bg, "silent", silent.addr, long, x))
 
 	huge := whole()
-	huge.Write = func(w *bufio.Writer) error {
+	huge.Write = func(w *bufio.Writer, _ bool) error {
 		_, err := w.Write(bytes.Repeat([]byte{'x'}, 32<<20)) // more than the kernel holds
 		return err
 	}
@@ -172,7 +180,7 @@
 	ctx, cancel := context.WithCancel(bg)
 	out := whole()
 	read := out.Read
-	out.Read = func(r *bufio.Reader, told func()) (bool, error) { cancel(); return read(r, told) }
+	out.Read = func(r *bufio.Reader, in Reading) (bool, error) { cancel(); return read(r, in) }
 	assert.Equal(t, CalledOff, p.Do(ctx, "silent", silent.addr, long, out))
 	assert.Equal(t, NotReady, p.Do(ctx, "silent", silent.addr, long, whole()))
 }
@@ -232,7 +240,7 @@
 		},
 		"called off as it is put in the buffer": func(x *Exchange, cancel func()) {
 			write := x.Write
-			x.Write = func(w *bufio.Writer) error { cancel(); return write(w) }
+			x.Write = func(w *bufio.Writer, closing bool) error { cancel(); return write(w, closing) }
 		},
 		"time is up": func(x *Exchange, _ func()) { // as after a stop of the process
 			x.Ready = func() bool { time.Sleep(patience); return true }
@@ -365,8 +373,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var got string
 		x := say("call", &got)
-		x.Read = func(r *bufio.Reader, told func()) (bool, error) {
-			if err := end(cancel, told); err != nil {
+		x.Read = func(r *bufio.Reader, in Reading) (bool, error) {
+			if err := end(cancel, in.Told); err != nil {
 				return false, err
 			}
 			_, err := r.ReadString('\n')
@@ -422,11 +430,11 @@
 		var got string
 		x := say("call", &got)
 		read := x.Read
-		x.Read = func(r *bufio.Reader, told func()) (bool, error) {
+		x.Read = func(r *bufio.Reader, in Reading) (bool, error) {
 			assert.Eventually(t, func() bool { return ours.look() == spoke }, long, time.Millisecond)
 			end(cancel)
 			assert.Eventually(t, func() bool { return ours.look() == ended }, long, time.Millisecond, "its time is up")
-			return read(r, told)
+			return read(r, in)
 		}
 		patience := long
 		if name == "time is up" {
