--- a/internal/daemon/tally.go
+++ b/internal/daemon/tally.go
@@ -36,7 +36,7 @@
 		zap.Int("clients_quiet", crowd.Quiet), zap.Int("clients_begun", crowd.Begun), zap.Int("clients_crossed", crowd.Crossed),
 		zap.Int("owed", p.router.Owed()), zap.Int("notices_owed", p.notices.Owed()),
 		zap.Int("connections", p.pool.Open()), zap.Int64("connections_made", conns.Made),
-		zap.Int64("connections_spoken", conns.Spoken), zap.Int64("connections_doubted", conns.Doubted),
+		zap.Int64("connections_spoken", conns.Spoken), zap.Int64("answers_unknown", conns.Unknown),
 		zap.Int64("answers_foreign", p.calls.Foreign.Load()+p.notices.Foreign.Load()), zap.Int("goroutines", runtime.NumGoroutine()),
 		zap.Uint64("heap_bytes", mem.HeapInuse))
 	p.log.Info("counts", append(fields, endFields(b.Ended)...)...)
--- a/internal/transport/closing.go
+++ b/internal/transport/closing.go
@@ -38,5 +38,5 @@
 type Counts struct {
 	Made    int64 // connected
 	Spoken  int64 // closed because they brought bytes that no call had asked for
-	Doubted int64 // closed because answers came to a closing request, and none was known to be its own
+	Unknown int64 // closed because answers came to a closing request, and none was known to be its own
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -198,6 +198,9 @@
 	case err == nil:
 		j.stage = Done
 		l.why = AnsweredLast
+		if closing {
+			l.pool.lastAnswer(l.receiver, true)
+		}
 		if !keep || closing || !l.pool.mayRest(l) || !stop() {
 			return false, false
 		}
@@ -214,7 +217,7 @@
 		j.stage = Broken
 	}
 	if errors.Is(err, ErrNotOwn) {
-		l.pool.doubt(l.receiver)
+		l.pool.lastAnswer(l.receiver, false)
 	}
 	conn.drop()
 	return false, false
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -60,7 +60,7 @@
 	// Closed, where it is set before the first exchange, hears of each connection's end. It must not block.
 	Closed func(Closing)
 
-	made, spoken, doubted atomic.Int64
+	made, spoken, unknown atomic.Int64
 
 	mu   sync.Mutex
 	idle map[string][]*link // by receiver, newest last; emptied as connections close
@@ -171,17 +171,21 @@
 	return p.uses.mayRest(l.receiver, time.Now())
 }
 
-// doubt has the connections to a receiver carry one exchange each for a while.
-func (p *Pool) doubt(receiver string) {
-	p.doubted.Add(1)
+// lastAnswer takes in whether the answer to a closing request was known to be its own.
+func (p *Pool) lastAnswer(receiver string, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.uses.doubt(receiver, time.Now())
+	if known {
+		p.uses.known(receiver)
+		return
+	}
+	p.unknown.Add(1)
+	p.uses.unknown(receiver, time.Now())
 }
 
 // Counts tells of the connections since the start.
 func (p *Pool) Counts() Counts {
-	return Counts{Made: p.made.Load(), Spoken: p.spoken.Load(), Doubted: p.doubted.Load()}
+	return Counts{Made: p.made.Load(), Spoken: p.spoken.Load(), Unknown: p.unknown.Load()}
 }
 
 // closed tells of a connection's end.
--- a/internal/transport/uses.go
+++ b/internal/transport/uses.go
@@ -1,6 +1,9 @@
 package transport
 
-import "time"
+import (
+	"maps"
+	"time"
+)
 
 // How many exchanges a connection carries. HTTP/1.1 ties an answer to its request by its place on the connection alone, so one answer too
 // many, such as a copy of an older one, is taken for the next request's. Two exchanges are free of that: the first one on a connection, to
@@ -9,36 +12,48 @@
 
 const (
 	exchangesEach = 2           // of a connection: the first and the last
-	doubtFor      = time.Minute // after a closing request whose answer could not be known: the receiver's connections carry one exchange
-	doubtedMost   = 4096        // receivers doubted at a time; beyond that all are
+	unknownRow    = 3           // last answers in a row that could not be known, from which a receiver is doubted; single ones are torn on their way
+	doubtFor      = time.Minute // for which the connections to a doubted receiver carry one exchange
+	suspectsMost  = 4096        // receivers with such a row at a time; beyond that all are doubted
 )
 
 // closes tells whether the exchange that follows so many on a connection is its last one.
 func closes(before int) bool { return before+1 >= exchangesEach }
 
-// uses knows the receivers that do not close as they are asked to, or answer more than they are asked.
+// suspect is a receiver whose latest last answer could not be known: it does not close as it is asked to, or says more than it is asked.
+type suspect struct {
+	row     int       // of such answers
+	doubted time.Time // until when, zero for not yet
+}
+
+// uses knows them.
 type uses struct {
-	doubted map[string]time.Time // until when; at most doubtedMost, emptied as their time passes
-	all     time.Time            // until when every receiver is doubted
+	suspects map[string]suspect // by receiver, at most suspectsMost; emptied by answers that are known, and when full of those not doubted
+	all      time.Time          // until when every receiver is doubted
 }
 
-func newUses() uses { return uses{doubted: map[string]time.Time{}} }
+func newUses() uses { return uses{suspects: map[string]suspect{}} }
 
 // mayRest tells whether a connection may be kept for another exchange.
 func (u *uses) mayRest(receiver string, now time.Time) bool {
-	return !now.Before(u.all) && !now.Before(u.doubted[receiver])
+	return !now.Before(u.all) && !now.Before(u.suspects[receiver].doubted)
 }
 
-// doubt has the connections to a receiver carry one exchange each for a while.
-func (u *uses) doubt(receiver string, now time.Time) {
-	for r, until := range u.doubted {
-		if !now.Before(until) {
-			delete(u.doubted, r)
-		}
+// known takes in that a last answer was known.
+func (u *uses) known(receiver string) { delete(u.suspects, receiver) }
+
+// unknown takes in that answers came to a last call, and none was known to be its own.
+func (u *uses) unknown(receiver string, now time.Time) {
+	s, is := u.suspects[receiver]
+	if !is && len(u.suspects) >= suspectsMost {
+		maps.DeleteFunc(u.suspects, func(_ string, s suspect) bool { return !now.Before(s.doubted) })
 	}
-	if _, is := u.doubted[receiver]; !is && len(u.doubted) >= doubtedMost {
+	if !is && len(u.suspects) >= suspectsMost {
 		u.all = now.Add(doubtFor)
 		return
 	}
-	u.doubted[receiver] = now.Add(doubtFor)
+	if s.row++; s.row >= unknownRow {
+		s.doubted = now.Add(doubtFor)
+	}
+	u.suspects[receiver] = s
 }
