--- a/choice/message.go
+++ b/choice/message.go
@@ -186,8 +186,7 @@
 	l.settled, l.outcome = true, o
 	c := l.call
 	if o == Full && wait > 0 { // binds from this very turn, though others of the call may tell less
-		c.r.route.waitUntil = max(c.r.route.waitUntil, s.now+wait)
-		s.saw(c.r, Sight{Kind: SeenWait, Wait: wait})
+		s.heed(c.r, wait)
 	}
 	c.open--
 	c.r.usedAt = s.now
@@ -225,6 +224,19 @@
 	}
 }
 
+// WaitTold takes a wait that a receiver told, before the outcome of the call for which it did is known. The call's outcome may follow and
+// tell it again. Danger: a wait binds from when it is told, and calls would go out meanwhile.
+func (s *Sender) WaitTold(receiver uint32, wait int64) {
+	if r := s.recvs[receiver]; r != nil {
+		s.heed(r.used(), wait)
+	}
+}
+
+func (s *Sender) heed(r *receiver, wait int64) {
+	r.route.waitUntil = max(r.route.waitUntil, s.now+wait)
+	s.saw(r, Sight{Kind: SeenWait, Wait: wait})
+}
+
 // EndKnown says that whoever handed a message in knows its end.
 func (s *Sender) EndKnown(id string) {
 	if m := s.msgs[id]; m != nil && m.over() {
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -40,7 +40,7 @@
 			wait := max(1, (l.Until-c.clock.Now())/microsInMilli)
 			return protocol.WriteCall(w, l.To.Addr, l.Msg.ID, l.Msg.Key, wait, l.Msg.Body, closing)
 		},
-		Read:   into(&answer, func(int64) {}, &c.Foreign),
+		Read:   c.into(&answer, l.To),
 		Begins: func(connection uint64, number int) { use = relay.ConnectionUse{Connection: connection, Number: number} },
 	})
 	res, wait := result(stage, answer)
@@ -56,7 +56,7 @@
 		Write: func(w *bufio.Writer, closing bool) error {
 			return protocol.WriteProbe(w, to.Addr, c.probeLoad, closing)
 		},
-		Read: into(&a, func(int64) {}, &c.Foreign),
+		Read: c.into(&a, to),
 	})
 	res, _ := result(stage, a)
 	c.router.Probed(to, res, load(probed(a)))
@@ -70,6 +70,11 @@
 	return a.Body
 }
 
+// into reads an exchange's answer with a receiver. A wait binds from when it is told, whichever call it answers.
+func (c *Calls) into(a *protocol.Answer, from routing.Receiver) func(*bufio.Reader, transport.Reading) (bool, error) {
+	return into(a, func(micros int64) { c.router.WaitTold(from, micros) }, &c.Foreign)
+}
+
 // into reads an exchange's answer, and counts answers in front of it that were not its own.
 func into(a *protocol.Answer, waited func(micros int64), foreign *atomic.Int64) func(*bufio.Reader, transport.Reading) (bool, error) {
 	return func(r *bufio.Reader, in transport.Reading) (keep bool, err error) {
--- a/internal/routing/report.go
+++ b/internal/routing/report.go
@@ -72,6 +72,11 @@
 	})
 }
 
+// WaitTold has a wait bind at once, in µs, before it is known which call the answer that told it belongs to.
+func (r *Router) WaitTold(from Receiver, wait int64) {
+	r.turn(func() { r.sender.WaitTold(from.number, wait) })
+}
+
 // Probed tells how a probe went.
 func (r *Router) Probed(to Receiver, res Result, l Load) {
 	r.turn(func() { r.sender.Probed(to.number, outcomes[res], report(l, r.inProbes)) })
