--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -100,6 +100,8 @@
 		return routing.NotSent, 0
 	case transport.NotConnected, transport.NotWritten:
 		return routing.NotConnected, 0
+	case transport.Unasked:
+		return unasked(a)
 	}
 	if a.Status == 200 { // the first line is enough
 		return routing.Delivered, 0
@@ -115,6 +117,14 @@
 	return answered(a)
 }
 
+// unasked is the outcome of a call that was not written, as its connection had brought an answer already: only a refusal can be meant.
+func unasked(a protocol.Answer) (res routing.Result, wait int64) {
+	if a.Status == 429 || a.Status == 503 {
+		return answered(a)
+	}
+	return routing.NotConnected, 0
+}
+
 func answered(a protocol.Answer) (res routing.Result, wait int64) {
 	switch a.Status {
 	case 500:
--- a/internal/platform/calls_test.go
+++ b/internal/platform/calls_test.go
@@ -46,6 +46,12 @@
 		{transport.Done, protocol.Answer{Status: 504}, routing.NotSent, 0},
 		{transport.Done, protocol.Answer{Status: 410}, routing.GoneThere, 0},
 		{transport.Done, protocol.Answer{Status: 302}, routing.Reset, 0},
+		{transport.Unasked, protocol.Answer{}, routing.NotConnected, 0},
+		{transport.Unasked, protocol.Answer{Status: 200}, routing.NotConnected, 0},
+		{transport.Unasked, protocol.Answer{Status: 410}, routing.NotConnected, 0},
+		{transport.Unasked, protocol.Answer{Status: 503}, routing.TurnedAway, 0},
+		{transport.Unasked, protocol.Answer{Status: 503, Close: true}, routing.NotConnected, 0},
+		{transport.Unasked, protocol.Answer{Status: 429, WaitMicros: 250}, routing.TurnedAway, 250},
 	} {
 		got, wait := result(c.stage, c.a)
 		assert.Equal(t, c.want, got, "%+v", c)
@@ -165,24 +171,31 @@
 	}
 }
 
-// A receiver short of connections answers and closes as soon as one is up. What is written then surely never runs, in one piece or in many.
+// A receiver short of connections answers and closes as soon as one is up. What is written then surely never runs, in one piece or in many; nor
+// does it where the answer says that it did.
 func TestAnswerBeforeTheCallMeansItNeverRan(t *testing.T) {
-	for _, size := range []int{1, 8 << 20} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		shut := make(chan struct{})
-		go func() {
-			defer close(shut)
-			if c, err := l.Accept(); err == nil {
-				_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-				_ = c.Close()
-			}
-		}()
-		pool := transport.NewPool(time.Second, time.Second, 9)
-		j := NewCalls(pool, relay.NewClock(), nil, false).Carry(context.Background(), relay.Leg{Msg: &spool.Message{ID: "a", Body: make([]byte, size)},
-			Patience: long, Ready: func() bool { <-shut; return true }, Still: func() bool { return true }, To: routing.Receiver{ID: "s", Addr: l.Addr().String()}})
-		assert.True(t, j.Result.NeverRan(), "%d: %s", size, j.Result)
-		assert.Zero(t, pool.Open())
-		_ = l.Close()
+	for _, status := range []string{"503 Busy", "200 OK", "410 Gone"} {
+		for _, size := range []int{1, 8 << 20} {
+			answerBeforeTheCall(t, status, size)
+		}
 	}
 }
+
+func answerBeforeTheCall(t *testing.T, status string, size int) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	shut := make(chan struct{})
+	go func() {
+		defer close(shut)
+		if c, err := l.Accept(); err == nil {
+			_, _ = io.WriteString(c, "HTTP/1.1 "+status+"\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+			_ = c.Close()
+		}
+	}()
+	pool := transport.NewPool(time.Second, time.Second, 9)
+	j := NewCalls(pool, relay.NewClock(), nil, false).Carry(context.Background(), relay.Leg{Msg: &spool.Message{ID: "a", Body: make([]byte, size)},
+		Patience: long, Ready: func() bool { <-shut; return true }, Still: func() bool { return true }, To: routing.Receiver{ID: "s", Addr: l.Addr().String()}})
+	assert.True(t, j.Result.NeverRan() && j.Result != routing.GoneThere, "%s, %d: %s", status, size, j.Result)
+	assert.Zero(t, pool.Open())
+	_ = l.Close()
+}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -162,7 +162,7 @@
 	stop := context.AfterFunc(j.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	_ = conn.SetDeadline(j.until)
-	begun, gone := false, false
+	begun, gone, unasked := false, false, false
 	closing := closes(l.number)
 	l.why = CallFailed
 	conn.first = func() bool {
@@ -176,8 +176,9 @@
 		if spoilt {
 			l.why = atRest(seen)
 		}
-		gone = !used && seen == ended // what it has brought may be a refusal, for which no call is needed
-		begun = !spoilt && !gone
+		gone = !used && seen == ended
+		unasked = !used && seen == spoke // it may be a refusal of the connection, and is the answer to nothing
+		begun = !spoilt && !gone && !unasked
 		if begun {
 			l.begins(j)
 		}
@@ -185,6 +186,10 @@
 	}
 	if err := j.x.Write(conn.W, closing); err != nil || conn.Flush() != nil {
 		switch j.stage = NotReady; {
+		case unasked:
+			j.stage = Unasked
+			_ = conn.SetReadDeadline(earlier(j.until, time.Now().Add(restWithin)))
+			_, _, _ = l.read(j, false) // what it says stands in the exchange's answer
 		case begun:
 			j.stage = NotWritten
 			conn.drop()
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -13,7 +13,7 @@
 // Stage is how far an exchange came.
 type Stage uint8
 
-// The stages at which an exchange may end. Up to NotWritten the other side has not got all of it.
+// The stages at which an exchange may end. Up to NotWritten, and at Unasked, the other side has not got all of it.
 const (
 	NotReady     Stage = iota // called off before its first byte
 	NoRoom                    // no connection could be had: the pool is full of calls, or no descriptor came free in time
@@ -23,6 +23,7 @@
 	TimedOut                  // no answer in time
 	CalledOff                 // given up while out
 	Done
+	Unasked // an answer was there before the first byte, which was not written
 )
 
 // Exchange is one call on a connection.
