--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -155,9 +155,10 @@
 	UnknownKind Cause = "unknown kind"
 	Late        Cause = "late" // too long on the way, or doubled later
 	Flooding    Cause = "flood"
+	Doubled     Cause = "doubled" // an answer that had come before
 )
 
-var causes = [...]Cause{OtherFleet, OldVersion, Unlisted, Misled, Oversized, Torn, UnknownKind, Late, Flooding}
+var causes = [...]Cause{OtherFleet, OldVersion, Unlisted, Misled, Oversized, Torn, UnknownKind, Late, Flooding, Doubled}
 
 // Counts are totals since the start.
 type Counts struct {
--- a/internal/links/peer.go
+++ b/internal/links/peer.go
@@ -221,13 +221,17 @@
 	if err != nil {
 		return failed
 	}
-	defer func() { _ = res.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(res.Body, headBytes))
-	if err != nil {
-		return failed
+	_ = res.Body.Close()
+	o := failed
+	if err == nil {
+		p.l.tally.posts.Add(1)
+		o = p.read(res.StatusCode, text, len(batch) == 0)
+	}
+	if o != good { // danger: an answer too many on the connection, and the own one would pass for the next post's
+		p.client.CloseIdleConnections()
 	}
-	p.l.tally.posts.Add(1)
-	return p.read(res.StatusCode, text, len(batch) == 0)
+	return o
 }
 
 // read takes in an answer.
@@ -246,6 +250,11 @@
 		p.l.name(p.Name, Torn, "an answer")
 		return failed
 	}
+	if a.Boot == p.told.Boot && a.Stamp <= p.told.Stamp {
+		p.l.tally.refuse(Doubled)
+		p.l.name(p.Name, Doubled, "an answer that had come before")
+		return failed
+	}
 	if greeting || status == http.StatusConflict {
 		if c := p.misfit(a); c != "" {
 			p.l.tally.refuse(c)
