--- a/internal/fleettest/return_rig_test.go
+++ b/internal/fleettest/return_rig_test.go
@@ -238,10 +238,7 @@
 
 func (p *returnRig) close() {
 	close(p.done)
-	for _, s := range p.senders {
-		s.kill()
-		s.listen.Release()
-	}
+	p.killAll()
 	_ = p.agent.Close()
 	for _, c := range p.relays {
 		_ = c.Close()
@@ -255,5 +252,15 @@
 		}
 	}
 	p.work.Wait()
+	p.killAll() // one may have been starting meanwhile
+	for _, s := range p.senders {
+		s.listen.Release()
+	}
 	_ = os.RemoveAll(p.dir)
 }
+
+func (p *returnRig) killAll() {
+	for _, s := range p.senders {
+		s.kill()
+	}
+}
