--- a/internal/fleettest/return_receiver_rig_test.go
+++ b/internal/fleettest/return_receiver_rig_test.go
@@ -91,6 +91,9 @@
 func (d *returning) open(e *endpoint) {
 	l, err := e.at.Listen()
 	require.NoError(d.p.t, err)
+	if d.p.Copies {
+		l = &copyingListener{Listener: l, seed: d.p.Seed<<8 | uint64(d.number)}
+	}
 	e.server = &http.Server{Handler: d}
 	d.p.work.Go(func() { _ = e.server.Serve(l) })
 }
--- a/internal/fleettest/return_rig_test.go
+++ b/internal/fleettest/return_rig_test.go
@@ -48,6 +48,7 @@
 	Joins       bool          // each destination that is out gets one more endpoint during the outage
 	Signals     float64       // share of the senders that get signals in series, and are killed in the end
 	Crowd       int           // idle clients at the first sender
+	Copies      bool          // connections to destinations carry copies of answers
 	Within      time.Duration // the time of a message; returnWithin if 0
 	Settle      time.Duration // after the last hand-in, in which every message has to end; not judged if 0
 }
--- a/internal/fleettest/soak_rig_test.go
+++ b/internal/fleettest/soak_rig_test.go
@@ -45,6 +45,7 @@
 		play.Crowd = 100
 	}
 	play.Until = play.From + time.Duration(3+r.IntN(6))*time.Second
+	play.Copies = r.IntN(2) == 0
 	play.Within, play.Settle = soakWithin, soakSettle
 	return play
 }
