--- a/internal/platform/own_answer_test.go
+++ b/internal/platform/own_answer_test.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -15,6 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"github.com/tidwall/gjson"
+	"go.uber.org/zap"
 
 	"ravenlink/internal/relay"
 	"ravenlink/internal/routing"
@@ -124,3 +126,25 @@
 		})
 	}
 }
+
+func TestCopiedAnswerOfThePlatformEndsNoNotice(t *testing.T) {
+	const plain204, closes503Own = "HTTP/1.1 204 No\r\n\r\n", closes503 + "end"
+	addr, came := receive(t, script{{plain204, plain204 + closes503Own}, {plain204}})
+	told := make(chan string, 2)
+	n := NewNotices(zap.NewNop(), NewAgent(addr), time.Second, func(us []relay.Undelivered) {
+		for _, u := range us {
+			told <- fmt.Sprintf("%s on connection %d", u.Msg.ID, came.Load())
+		}
+	})
+	defer n.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	var run sync.WaitGroup
+	run.Go(func() { n.Run(ctx) })
+	defer run.Wait()
+	defer cancel()
+	for _, want := range []string{"a on connection 1", "b on connection 2"} {
+		n.Undelivered(relay.Undelivered{Msg: &spool.Message{ID: want[:1]}})
+		assert.Equal(t, want, <-told)
+	}
+	assert.EqualValues(t, 1, n.Foreign.Load())
+}
