--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -80,7 +80,7 @@
 	return func(r *bufio.Reader, in transport.Reading) (keep bool, err error) {
 		if !in.Closing {
 			*a, err = protocol.ReadAnswer(r, in.Told)
-			return !a.Close, err
+			return !a.EndsConnection(), err
 		}
 		var passed int
 		*a, passed, err = protocol.ReadClosingAnswer(r, protocol.Hearing{Told: in.Told, Whole: in.Whole, Waited: waited})
--- a/internal/protocol/closing.go
+++ b/internal/protocol/closing.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -27,16 +28,19 @@
 	for range mostForeign {
 		a, err := readAnswer(r, h.listener())
 		switch {
-		case err != nil && a.Close:
+		case err != nil && a.EndsConnection():
 			return a, foreign, err
 		case err != nil:
 			return Answer{}, foreign, notOwn(foreign, err)
-		case a.Close:
+		case a.EndsConnection():
 			h.Whole()
-			if _, err = r.Peek(1); ended(err) {
+			if err = readEnd(r, &a); err == nil {
 				return a, foreign, nil
 			}
 		}
+		if errors.Is(err, errFollowed) {
+			err = nil
+		}
 		foreign++
 		if err != nil {
 			return Answer{}, foreign, notOwn(foreign, err)
@@ -53,12 +57,45 @@
 			waited = true
 			h.Waited(a.WaitMicros)
 		}
-		if a.Close && a.decides(headEnded) {
+		if a.EndsConnection() && a.decides(headEnded) {
 			h.Told()
 		}
 	}
 }
 
+// errFollowed says that more than the end of the connection is behind an answer.
+var errFollowed = errors.New("another answer follows")
+
+// readEnd waits for the end of the connection behind an answer, and reads the body that runs up to it where no field told its length.
+func readEnd(r *bufio.Reader, a *Answer) error {
+	if !a.unframed {
+		_, err := r.Peek(1)
+		return onlyEnd(err)
+	}
+	text, err := io.ReadAll(io.LimitReader(r, MostBody+1))
+	switch {
+	case err == nil && len(text) > MostBody:
+		return malformed("a body is longer than %d bytes", MostBody)
+	case bytes.Contains(text, httpMark):
+		return malformed("an answer stands in the body of another")
+	case err != nil:
+		return onlyEnd(err)
+	}
+	a.Body = text
+	return nil
+}
+
+// onlyEnd is nil for a read that found the end of the connection.
+func onlyEnd(err error) error {
+	switch {
+	case err == nil:
+		return errFollowed
+	case ended(err):
+		return nil
+	}
+	return err
+}
+
 // ended tells whether the other side has ended or broken the connection. A reset is an end as well: who refuses a call before it has read its
 // body leaves bytes unread.
 func ended(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) }
--- a/internal/protocol/closing_test.go
+++ b/internal/protocol/closing_test.go
@@ -27,10 +27,11 @@
 
 func TestOnlyAMarkedAnswerWithTheEndBehindItIsAClosingRequestsOwn(t *testing.T) {
 	const (
-		older  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-		waits  = "HTTP/1.1 429 Too Many\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
-		own    = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbusy"
-		copied = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
+		older    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+		waits    = "HTTP/1.1 429 Too Many\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+		own      = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbusy"
+		unframed = "HTTP/1.1 503 Busy\r\nConnection: close\r\n\r\n"
+		copied   = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
 	)
 	silence := os.ErrDeadlineExceeded
 	for name, c := range map[string]struct {
@@ -41,23 +42,28 @@
 		waited  int // µs
 		notOwn  bool
 	}{
-		"the own one alone":                     {own, io.EOF, 503, 0, 0, false},
-		"with a body up to the end":             {copied, io.EOF, 200, 0, 0, false},
-		"a copy in front":                       {older + own, io.EOF, 503, 1, 0, false},
-		"two copies in front":                   {older + older + own, io.EOF, 503, 2, 0, false},
-		"a copy that says close in front":       {copied + own, io.EOF, 503, 1, 0, false},
-		"an interim answer and a copy":          {"HTTP/1.1 102 Processing\r\n\r\n" + older + own, io.EOF, 503, 1, 0, false},
-		"a copy of a told wait in front":        {waits + own, io.EOF, 503, 1, 1_000_000, false},
-		"a copy alone, then the end":            {older, io.EOF, 0, 1, 0, true},
-		"a copy alone, then silence":            {older, silence, 0, 1, 0, true},
-		"a copy that says close, then silence":  {copied, silence, 0, 1, 0, true},
-		"a told wait alone, then silence":       {waits, silence, 0, 1, 1_000_000, true},
-		"half a copy runs into the own one":     {older[:25] + own, io.EOF, 0, 0, 0, false},
-		"half a copy's body has the own one":    {older[:len(older)-1] + own, io.EOF, 0, 1, 0, true},
-		"a copy stands in the own one's head":   {own[:25] + older + own[25:], io.EOF, 0, 0, 0, false},
-		"a copy stands in the own one's body":   {own[:len(own)-2] + older + own[len(own)-2:], io.EOF, 0, 1, 0, true},
-		"the own one's body is cut":             {own[:len(own)-2], io.EOF, 503, 0, 0, false},
-		"the own one's head is cut":             {own[:30], io.EOF, 0, 0, 0, false},
+		"the own one alone":                               {own, io.EOF, 503, 0, 0, false},
+		"with a body up to the end":                       {copied, io.EOF, 200, 0, 0, false},
+		"a copy in front":                                 {older + own, io.EOF, 503, 1, 0, false},
+		"two copies in front":                             {older + older + own, io.EOF, 503, 2, 0, false},
+		"a copy that says close in front":                 {copied + own, io.EOF, 503, 1, 0, false},
+		"an interim answer and a copy":                    {"HTTP/1.1 102 Processing\r\n\r\n" + older + own, io.EOF, 503, 1, 0, false},
+		"a copy of a told wait in front":                  {waits + own, io.EOF, 503, 1, 1_000_000, false},
+		"a copy alone, then the end":                      {older, io.EOF, 0, 1, 0, true},
+		"a copy alone, then silence":                      {older, silence, 0, 1, 0, true},
+		"a copy that says close, then silence":            {copied, silence, 0, 1, 0, true},
+		"a told wait alone, then silence":                 {waits, silence, 0, 1, 1_000_000, true},
+		"half a copy runs into the own one":               {older[:25] + own, io.EOF, 0, 0, 0, false},
+		"half a copy's body has the own one":              {older[:len(older)-1] + own, io.EOF, 0, 1, 0, true},
+		"a copy stands in the own one's head":             {own[:25] + older + own[25:], io.EOF, 0, 0, 0, false},
+		"a copy stands in the own one's body":             {own[:len(own)-2] + older + own[len(own)-2:], io.EOF, 0, 1, 0, true},
+		"the own one's body is cut":                       {own[:len(own)-2], io.EOF, 503, 0, 0, false},
+		"the own one's head is cut":                       {own[:30], io.EOF, 0, 0, 0, false},
+		"a body that the end of the connection ends":      {unframed + "busy", io.EOF, 503, 0, 0, false},
+		"the same behind a copy":                          {older + unframed + "busy", io.EOF, 503, 1, 0, false},
+		"the same, not ended":                             {unframed + "busy", silence, 0, 1, 0, true},
+		"such a body that has another answer":             {unframed + own, io.EOF, 0, 1, 0, true},
+		"no length and no word of closing, up to the end": {"HTTP/1.1 200 OK\r\n\r\nok", io.EOF, 200, 0, 0, false},
 		"nothing":                               {"", io.EOF, 0, 0, 0, false},
 		"the first line of a delivery alone":    {"HTTP/1.1 200 OK\r\n", silence, 0, 0, 0, false},
 		"a delivery says close and never ends":  {"HTTP/1.1 200 OK\r\nConnection: close\r\nX: ", silence, 200, 0, 0, false},
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -98,6 +98,7 @@
 	Close      bool
 	chunked    bool
 	length     int
+	unframed   bool // nothing tells the body's length, so the end of the connection ends it
 }
 
 // heard is called with an answer's head as far as it has come: after its first line, after each field, and at its end, which ended tells.
@@ -129,6 +130,8 @@
 		return a, err
 	case a.Status < 200:
 		return a, malformed("more than %d answers in front of the last", mostInterim)
+	case a.unframed: // what follows needs no reading
+		return a, nil
 	}
 	var body io.Reader = io.LimitReader(r, int64(a.length))
 	if a.chunked {
@@ -147,6 +150,9 @@
 	return a, nil
 }
 
+// EndsConnection tells whether nothing comes behind an answer on its connection, as it says or by its form.
+func (a *Answer) EndsConnection() bool { return a.Close || a.unframed }
+
 // ReadHead reads an answer up to its body.
 func ReadHead(r *bufio.Reader) (a Answer, err error) { return readHead(r, func(*Answer, bool) {}) }
 
@@ -166,6 +172,7 @@
 	}
 	a.Close = string(version) == "HTTP/1.0"
 	a.Status = status
+	framed := status < 200 || status == 204
 	on(&a, false)
 	var spoilt error // of a field: it does not change what the status says
 	for range mostFields {
@@ -174,6 +181,7 @@
 			return a, unexpected(err)
 		}
 		if len(line) == 0 {
+			a.unframed = !framed
 			on(&a, true)
 			return a, spoilt
 		}
@@ -181,7 +189,9 @@
 		if !found || strings.HasPrefix(name, string(httpMark)) { // danger: an older answer's head, cut, runs into the next status line
 			return a, malformed("no header field: %.40q", line)
 		}
-		spoilt = cmp.Or(spoilt, a.field(strings.ToLower(name), strings.TrimSpace(value)))
+		name = strings.ToLower(name)
+		framed = framed || name == "content-length" || name == "transfer-encoding"
+		spoilt = cmp.Or(spoilt, a.field(name, strings.TrimSpace(value)))
 		on(&a, false)
 	}
 	return a, malformed("more than %d header fields", mostFields)
