--- a/internal/protocol/closing.go
+++ b/internal/protocol/closing.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -76,7 +75,7 @@
 	switch {
 	case err == nil && len(text) > MostBody:
 		return malformed("a body is longer than %d bytes", MostBody)
-	case bytes.Contains(text, httpMark):
+	case hasStatusLine(text):
 		return malformed("an answer stands in the body of another")
 	case err != nil:
 		return onlyEnd(err)
--- a/internal/protocol/closing_test.go
+++ b/internal/protocol/closing_test.go
@@ -25,6 +25,29 @@
 	return 0, f.err
 }
 
+// Wherever a copy is cut, and whatever runs into it, no other answer's status is taken.
+func TestNoCutOfACopyOrOfTheOwnAnswerGivesAnotherStatus(t *testing.T) {
+	const (
+		head  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nRetry-After: 1\r\nVia: HTTP/1.1 proxy\r\n\r\nok"
+		other = "HTTP/1.1 503 Busy\r\nVia: 1.1 x\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbusy"
+	)
+	read := func(text string) Answer {
+		a, _, _ := ReadClosingAnswer(bufio.NewReader(falls{strings.NewReader(text), io.EOF}),
+			Hearing{Told: func() {}, Whole: func() {}, Waited: func(int64) {}})
+		return a
+	}
+	for cut := range head {
+		assert.Contains(t, []int{0, 503}, read(head[:cut]+other).Status, "a copy cut at %d", cut)
+		assert.Contains(t, []int{0, 503}, read(head+head[:cut]+other).Status, "a second copy cut at %d", cut)
+	}
+	for cut := range other {
+		assert.Contains(t, []int{0, 503}, read(other[:cut]+head+other[cut:]).Status, "a copy at %d of the own one", cut)
+		assert.Contains(t, []int{0, 503}, read(other[:cut]+head).Status, "cut at %d, and a copy in the place of the rest", cut)
+	}
+	assert.Equal(t, 503, read(head+other).Status)
+	assert.Equal(t, 200, read(strings.Replace(head, "Via", "Connection: close\r\nVia", 1)).Status, "a field may name the protocol")
+}
+
 func TestOnlyAMarkedAnswerWithTheEndBehindItIsAClosingRequestsOwn(t *testing.T) {
 	const (
 		older    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"slices"
 	"strconv"
 	"strings"
 )
@@ -186,7 +187,7 @@
 			return a, spoilt
 		}
 		name, value, found := strings.Cut(string(line), ":")
-		if !found || strings.HasPrefix(name, string(httpMark)) { // danger: an older answer's head, cut, runs into the next status line
+		if !found || hasStatusLine(line) { // danger: an older answer's head, cut, runs into the next one's, and its status speaks for both
 			return a, malformed("no header field: %.40q", line)
 		}
 		name = strings.ToLower(name)
@@ -197,6 +198,20 @@
 	return a, malformed("more than %d header fields", mostFields)
 }
 
+// hasStatusLine tells whether a line holds the beginning of a status line: HTTP/1.x, a space and three digits.
+func hasStatusLine(line []byte) bool {
+	for {
+		_, rest, found := bytes.Cut(line, httpMark)
+		if !found {
+			return false
+		}
+		if len(rest) >= 5 && rest[1] == ' ' && !slices.ContainsFunc(rest[2:5], func(c byte) bool { return c < '0' || c > '9' }) {
+			return true
+		}
+		line = rest
+	}
+}
+
 func (a *Answer) field(name, value string) error {
 	switch name {
 	case "retry-after":
