--- a/internal/platform/own_answer_test.go
+++ b/internal/platform/own_answer_test.go
@@ -104,6 +104,8 @@
 			[]routing.Result{routing.Delivered, routing.Reset, routing.Delivered, routing.Reset, routing.Delivered, routing.Reset, routing.Delivered, routing.Delivered}, 3, 5},
 		"one that does not close": {script{{plain200, closes200 + "hold"}, {plain200, closes200 + "hold"}, {plain200, closes200 + "hold"}, {plain200, plain200}, {plain200}},
 			[]routing.Result{routing.Delivered, routing.TimedOut, routing.Delivered, routing.TimedOut, routing.Delivered, routing.TimedOut, routing.Delivered, routing.Delivered}, 3, 5},
+		"a body that never ends":             {script{{plain200, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabhold"}}, []routing.Result{routing.Delivered, routing.Delivered}, 0, 1},
+		"a body of a length that never ends": {script{{plain200, "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 9\r\n\r\nabhold"}}, []routing.Result{routing.Delivered, routing.TurnedAway}, 0, 1},
 		"a single one that is torn": {script{{plain200, plain200 + "end"}, {plain200, closes200 + "end"}},
 			[]routing.Result{routing.Delivered, routing.Reset, routing.Delivered, routing.Delivered}, 1, 2},
 	} {
@@ -116,9 +118,11 @@
 			yes := func() bool { return true }
 			var got []routing.Result
 			for i := range c.want {
+				begun := time.Now()
 				j := calls.Carry(context.Background(), relay.Leg{Msg: &spool.Message{ID: fmt.Sprint(i)}, Patience: shortly, Ready: yes, Still: yes,
 					To: routing.Receiver{ID: "s", Addr: addr}})
 				got = append(got, j.Result)
+				assert.True(t, j.Result == routing.TimedOut || time.Since(begun) < shortly/2, "what has come decides at once")
 			}
 			assert.Equal(t, c.want, got)
 			assert.Equal(t, c.foreign, calls.Foreign.Load())
--- a/internal/protocol/closing.go
+++ b/internal/protocol/closing.go
@@ -31,15 +31,17 @@
 			return a, foreign, err
 		case err != nil:
 			return Answer{}, foreign, notOwn(foreign, err)
-		case a.EndsConnection():
+		case a.unframed: // no older answer can be: it would have ended the connection
+			if a.Body, err = readToEnd(r); errors.Is(err, errMixed) {
+				return Answer{}, foreign + 1, notOwn(foreign+1, err)
+			}
+			return a, foreign, err
+		case a.Close:
 			h.Whole()
-			if err = readEnd(r, &a); err == nil {
+			if _, err = r.Peek(1); ended(err) {
 				return a, foreign, nil
 			}
 		}
-		if errors.Is(err, errFollowed) {
-			err = nil
-		}
 		foreign++
 		if err != nil {
 			return Answer{}, foreign, notOwn(foreign, err)
@@ -62,37 +64,20 @@
 	}
 }
 
-// errFollowed says that more than the end of the connection is behind an answer.
-var errFollowed = errors.New("another answer follows")
+var errMixed = malformed("an answer stands in the body of another")
 
-// readEnd waits for the end of the connection behind an answer, and reads the body that runs up to it where no field told its length.
-func readEnd(r *bufio.Reader, a *Answer) error {
-	if !a.unframed {
-		_, err := r.Peek(1)
-		return onlyEnd(err)
-	}
-	text, err := io.ReadAll(io.LimitReader(r, MostBody+1))
+// readToEnd reads a body that the connection's end ends, as far as it comes.
+func readToEnd(r *bufio.Reader) (text []byte, err error) {
+	text, err = io.ReadAll(io.LimitReader(r, MostBody+1))
 	switch {
-	case err == nil && len(text) > MostBody:
-		return malformed("a body is longer than %d bytes", MostBody)
 	case hasStatusLine(text):
-		return malformed("an answer stands in the body of another")
-	case err != nil:
-		return onlyEnd(err)
-	}
-	a.Body = text
-	return nil
-}
-
-// onlyEnd is nil for a read that found the end of the connection.
-func onlyEnd(err error) error {
-	switch {
-	case err == nil:
-		return errFollowed
+		return nil, errMixed
+	case len(text) > MostBody:
+		return nil, malformed("a body is longer than %d bytes", MostBody)
 	case ended(err):
-		return nil
+		return text, nil
 	}
-	return err
+	return text, err
 }
 
 // ended tells whether the other side has ended or broken the connection. A reset is an end as well: who refuses a call before it has read its
