--- a/internal/fleettest/return_receiver_rig_test.go
+++ b/internal/fleettest/return_receiver_rig_test.go
@@ -135,8 +135,8 @@
 	at, err := loopback.Reserve(host)
 	require.NoError(d.p.t, err)
 	e := &endpoint{d: d, at: at}
+	d.open(e) // first: the outage may end just now, which opens all that are listed and shut
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	d.endpoints = append(d.endpoints, e)
-	d.mu.Unlock()
-	d.open(e)
 }
