--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,8 @@
 STATE ?= bin/state
+# Renames identifiers with all their uses; a tool of the developers, no dependency of the module.
+GOPLS_VERSION = v0.23.0
 
-.PHONY: build test lint run toy fleet-a fleet-b fleet-c links
+.PHONY: build test lint tools run toy fleet-a fleet-b fleet-c links
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -12,6 +14,9 @@
 	go vet ./...
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 
+tools:
+	go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 # A sender with the example's configuration; `make toy` in another shell gives it a receiver and discovery.
 run: build
 	mkdir -p $(STATE)
--- a/choice/cold.go
+++ b/choice/cold.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// What the next process of a sender is to know of destinations that may be cold.
+// State of destinations that may be cold, for the sender's next process.
 
 // ColdDst is a destination that may be cold.
 type ColdDst struct {
 	Dst  int64
-	Warm float64 // how far it has come in its slow start, from 0 to 1; 0 where it has not answered yet, 1 where only what was held back is to be released
+	Warm float64 // progress of its slow start from 0 to 1; 0 where it has not answered yet, 1 where only the backlog is to be released
 }
 
-// Cold lists the destinations that may be cold, in their order, each with the least of its routes.
+// Cold lists the destinations that may be cold by id, each with the least progress of its routes.
 func (s *Sender) Cold() (cold []ColdDst) {
 	least := map[int64]float64{}
 	for dst, warm := range s.coldBefore {
-		if !s.Lists(dst) && s.now-s.startAt <= s.guards.WarmWithin { // its list is late
+		if !s.KnowsDst(dst) && s.now-s.startAt <= s.rules.WarmUpTime { // its list is late
 			least[dst] = warm
 		}
 	}
@@ -39,7 +39,7 @@
 	for p, d := range s.refusing {
 		switch {
 		case p.share > 0:
-		case p.tellsOutage():
+		case p.refusalsMeanOutage():
 			note(d, 0)
 		default:
 			note(d, 1)
@@ -52,23 +52,23 @@
 	return cold
 }
 
-// ColdChanges tells how often the destinations that may be cold have changed so far.
+// ColdChanges counts the changes of the set of destinations that may be cold.
 func (s *Sender) ColdChanges() int { return s.coldChanges }
 
-// ColdBefore takes what an earlier process of this sender left as Cold, before any list. Danger: senders that are restarted during an outage
-// would meet the return with all that they owe, as if they had never seen it. How long the sender was down is not asked, as no clock that
-// outlasts a process is sure: slow start goes on where it was.
-func (s *Sender) ColdBefore(cold []ColdDst) {
+// RestoreCold takes what Cold returned in an earlier process, before any list. Senders restarted during an outage would otherwise meet the
+// return with all their queued messages, as if they had never seen it. The downtime of the sender is ignored, as no clock reliably outlasts a
+// process: slow start resumes where it was.
+func (s *Sender) RestoreCold(cold []ColdDst) {
 	s.coldBefore = make(map[int64]float64, len(cold))
 	for _, c := range cold {
 		s.coldBefore[c.Dst] = c.Warm
 	}
 }
 
-// recallCold has a receiver of a destination that an earlier process left cold begin so.
-func (s *Sender) recallCold(r *receiver) {
+// applyRestoredCold sets the phase of a receiver's route whose destination an earlier process left cold.
+func (s *Sender) applyRestoredCold(r *receiver) {
 	warm, cold := s.coldBefore[r.dst.id]
-	if !cold || r.route.mayBeCold() || r.route.isUsed() && r.route.okAt > 0 || s.now-s.startAt > s.guards.WarmWithin {
+	if !cold || r.route.mayBeCold() || r.route.isUsed() && r.route.lastSuccessAt > 0 || s.now-s.startAt > s.rules.WarmUpTime {
 		return
 	}
 	if warm >= 1 {
@@ -78,17 +78,17 @@
 	s.enterRecovery(r, suspect)
 	if warm > 0 && r.route.mayBeCold() {
 		s.enterRecovery(r, recovering)
-		r.route.recovery.since = s.now - int64(warm*float64(s.guards.WarmWithin))
+		r.route.recovery.since = s.now - int64(warm*float64(s.rules.WarmUpTime))
 	}
 }
 
-// noteRefusing notes that a route refused a call, so that the next process knows that a backlog waits behind that.
-func (s *Sender) noteRefusing(r *receiver) {
+// recordRefusing records that a route refused a call, so that the next process knows of the backlog behind it.
+func (s *Sender) recordRefusing(r *receiver) {
 	p := r.route
-	if r.past || p.share > 0 {
+	if r.placeholder || p.share > 0 {
 		return
 	}
-	if s.refusing[p] == nil || p.rounds <= badRow { // later ones change nothing that Cold tells
+	if s.refusing[p] == nil || p.refusalRounds <= minFailureRow { // later ones do not change the result of Cold
 		s.coldChanges++
 	}
 	s.refusing[p] = r.dst
--- a/choice/dispatch_test.go
+++ b/choice/dispatch_test.go
@@ -9,83 +9,83 @@
 
 func TestDestinationCap(t *testing.T) {
 	for slots, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 20: 14} {
-		f := begin(t, keyed, slots, 1, aLot, Kind{Batch: 1})
+		f := newFake(t, keyed, slots, 1, highWeight, Kind{Batch: 1})
 		for i := range 30 {
-			f.take(fmt.Sprint(i))
+			f.accept(fmt.Sprint(i))
 		}
-		assert.Equal(t, want, count(f.after(0), "send"), "%d slots", slots)
+		assert.Equal(t, want, count(f.advance(0), "send"), "%d slots", slots)
 	}
 }
 
 func TestBacklogDoesNotMakeWhatFollowsLate(t *testing.T) {
 	for _, halves := range []bool{true, false} {
-		f := begin(t, keyed, 2, 1, aLot, Kind{Batch: 1})
-		f.room.HalvesLate = halves
-		f.Listed(Changes, []Entry{{Receiver: 1, Dst: 7}})
-		f.take("stale", "stale too")
-		f.after(27 * second)
-		f.take("fresh")
-		f.Listed(Changes, []Entry{{Receiver: 1, Dst: 7, Weight: aLot, Listed: true}})
-		assert.Equal(t, []string{"send fresh"}, f.after(0))
+		f := newFake(t, keyed, 2, 1, highWeight, Kind{Batch: 1})
+		f.limits.ExponentialDecay = halves
+		f.UpdateList(Delta, []Entry{{Receiver: 1, Dst: 7}})
+		f.accept("stale", "stale too")
+		f.advance(27 * second)
+		f.accept("fresh")
+		f.UpdateList(Delta, []Entry{{Receiver: 1, Dst: 7, Weight: highWeight, Listed: true}})
+		assert.Equal(t, []string{"send fresh"}, f.advance(0))
 	}
 }
 
-func TestClientsOfLittleTimeAreNotStale(t *testing.T) {
-	f := begin(t, keyed, 2, 1, aLot, Kind{Batch: 1})
-	f.Listed(Changes, []Entry{{Receiver: 1, Dst: 7}})
-	f.take("stale")
-	f.after(5 * second)
-	f.Take("again", 0, "", 7, f.now+22*second)
-	f.Take("short", 0, "", 7, f.now+second)
-	f.Listed(Changes, []Entry{{Receiver: 1, Dst: 7, Weight: aLot, Listed: true}})
-	assert.Equal(t, []string{"send short"}, f.after(0))
+func TestMessagesWithShortDeadlinesAreNotStale(t *testing.T) {
+	f := newFake(t, keyed, 2, 1, highWeight, Kind{Batch: 1})
+	f.UpdateList(Delta, []Entry{{Receiver: 1, Dst: 7}})
+	f.accept("stale")
+	f.advance(5 * second)
+	f.Accept("again", 0, "", 7, f.now+22*second)
+	f.Accept("short", 0, "", 7, f.now+second)
+	f.UpdateList(Delta, []Entry{{Receiver: 1, Dst: 7, Weight: highWeight, Listed: true}})
+	assert.Equal(t, []string{"send short"}, f.advance(0))
 	assert.Equal(t, f.now-6*second, f.msgs["again"].sentAt)
 }
 
-func TestWhereClientsLeaveEarlyTheYoungGoFirst(t *testing.T) {
-	f := begin(t, keyed, 40, 1, 10, Kind{Batch: 1})
+func TestYoungMessagesGoFirstWhereClientsLeaveEarly(t *testing.T) {
+	f := newFake(t, keyed, 40, 1, 10, Kind{Batch: 1})
 	served, gone := 0, 0
-	for i := range 200 { // 20 a second come, 6.5 a second may go, each client leaves after a second
-		f.take(fmt.Sprint(i))
-		for _, did := range f.after(50 * ms) {
+	for i := range 200 { // 20 messages a second arrive, 6.5 a second may go, each client leaves after a second
+		f.accept(fmt.Sprint(i))
+		for _, did := range f.advance(50 * ms) {
 			var n int
 			if _, err := fmt.Sscanf(did, "send %d", &n); err != nil {
 				continue
 			}
 			if i-n > 20 {
-				f.Settled(fmt.Sprint(n), 0, Skipped, 0, true, Report{})
+				f.LegEnded(fmt.Sprint(n), 0, NotSent, 0, true, RateLimit{})
 				gone++
 				continue
 			}
-			f.ends(fmt.Sprint(n), Delivered, 0)
+			f.endLeg(fmt.Sprint(n), Delivered, 0)
 			served++
 		}
 	}
-	assert.Greater(t, served, 60, "the pace goes to those that wait")
+	assert.Greater(t, served, 60, "the rate goes to messages whose clients wait")
 	assert.Less(t, gone, 40)
 }
 
 func TestMessagesOfOneTurnShareACall(t *testing.T) {
-	f := begin(t, keyed, 2, 1, aLot, Kind{Batch: 5})
-	f.take("a", "b", "c")
-	assert.Equal(t, 3, count(f.after(0), "send"))
+	f := newFake(t, keyed, 2, 1, highWeight, Kind{Batch: 5})
+	f.accept("a", "b", "c")
+	assert.Equal(t, 3, count(f.advance(0), "send"))
 	assert.Equal(t, 1, f.calls)
 }
 
 func TestBusyDestinationGathersForACall(t *testing.T) {
-	f := begin(t, keyed, 40, 1, aLot, Kind{Batch: 4})
-	f.take("a")
-	assert.Equal(t, []string{"send a"}, f.after(0), "an idle one's at once")
-	f.take("b", "c")
-	assert.Empty(t, f.after(second/10))
-	f.take("d", "e")
-	assert.Equal(t, 4, count(f.after(0), "send"), "a full call goes")
+	f := newFake(t, keyed, 40, 1, highWeight, Kind{Batch: 4})
+	f.accept("a")
+	assert.Equal(t, []string{"send a"}, f.advance(0), "at once to an idle destination")
+	f.accept("b", "c")
+	assert.Empty(t, f.advance(second/10))
+	f.accept("d", "e")
+	assert.Equal(t, 4, count(f.advance(0), "send"), "a full call goes")
 	assert.Equal(t, 2, f.calls)
 }
 
-func TestCallsGoRatherWhereAnIdleConnectionStands(t *testing.T) {
-	f := begin(t, keyed, 40, 2, aLot, Kind{Batch: 1})
-	f.room.Idle = 10 * second
+func TestReceiversWithIdleConnectionsArePreferred(t *testing.T) {
+	f := newFake(t, keyed, 40, 2, highWeight, Kind{Batch: 1})
+	f.limits.IdleTimeout = 10 * second
 	same := 0
 	for i := range 200 {
 		m, last := fmt.Sprint(i), uint32(0)
@@ -93,14 +93,14 @@
 			last = f.to[fmt.Sprint(i-1)]
 		}
 		for _, r := range f.recvs {
-			r.usedAt = 0
+			r.lastOutcomeAt = 0
 			if r.id == last {
-				r.usedAt = f.now
+				r.lastOutcomeAt = f.now
 			}
 		}
-		f.take(m)
-		f.after(100 * ms)
-		f.ends(m, Delivered, 0)
+		f.accept(m)
+		f.advance(100 * ms)
+		f.endLeg(m, Delivered, 0)
 		if f.to[m] == last {
 			same++
 		}
@@ -109,13 +109,13 @@
 }
 
 func TestFullSlotsWaitForAnOutcomeNotForATimer(t *testing.T) {
-	f := begin(t, keyed, 2, 1, aLot, Kind{Batch: 1})
-	f.Listed(Changes, []Entry{{Receiver: 2, Dst: 8, Weight: aLot, Listed: true}, {Receiver: 3, Dst: 9, Weight: aLot, Listed: true}})
+	f := newFake(t, keyed, 2, 1, highWeight, Kind{Batch: 1})
+	f.UpdateList(Delta, []Entry{{Receiver: 2, Dst: 8, Weight: highWeight, Listed: true}, {Receiver: 3, Dst: 9, Weight: highWeight, Listed: true}})
 	for i, id := range []string{"a", "b", "c"} {
-		f.Take(id, 0, "", int64(7+i), f.now+28*second)
+		f.Accept(id, 0, "", int64(7+i), f.now+28*second)
 	}
-	assert.Equal(t, 2, count(f.after(second), "send"), "as many as slots")
-	assert.Less(t, f.rung, 20)
-	f.ends("a", Delivered, 0)
-	assert.Equal(t, 1, count(f.after(0), "send"), "at the outcome")
+	assert.Equal(t, 2, count(f.advance(second), "send"), "as many as slots")
+	assert.Less(t, f.timers, 20)
+	f.endLeg("a", Delivered, 0)
+	assert.Equal(t, 1, count(f.advance(0), "send"), "at the outcome")
 }
--- a/choice/drawn_returns_test.go
+++ b/choice/drawn_returns_test.go
@@ -11,46 +11,46 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// drawnDay is a return under conditions drawn from a seed.
-func drawnDay(seed uint64) coldDay {
+// drawScenario draws the conditions of a return from a seed.
+func drawScenario(seed uint64) returnScenario {
 	r := rand.New(rand.NewPCG(seed, 99))
 	one := func(of ...float64) float64 { return of[r.IntN(len(of))] }
-	d := coldDay{threeRoots: true, senders: int(one(3, 6, 12, 20, 34, 60, 120)), endpoints: 1 + r.IntN(3), capacity: one(2, 4, 8, 16, 30, 60),
-		how: []string{"refuse", "silent", "hang", "shut", "errors"}[r.IntN(5)], trust: []WeightTrust{NoWeight, RoughWeight, NominalWeight}[r.IntN(3)],
-		load: one(.5, .75, 1, 1.3), spread: one(0, .3, .8), restarted: one(0, 0, .3, .6), tells: one(0, .5, 1), deaf: r.IntN(2) == 0}
+	d := returnScenario{threeRoots: true, senders: int(one(3, 6, 12, 20, 34, 60, 120)), endpoints: 1 + r.IntN(3), capacity: one(2, 4, 8, 16, 30, 60),
+		fault: []string{"refuse", "silent", "hang", "shut", "errors"}[r.IntN(5)], trust: []WeightTrust{NoWeight, RoughWeight, NominalWeight}[r.IntN(3)],
+		load: one(.5, .75, 1, 1.3), spread: one(0, .3, .8), restarted: one(0, 0, .3, .6), retryAfterShare: one(0, .5, 1), noNotes: r.IntN(2) == 0}
 	d.from = int64(one(1.5, 3, 10, 30) * float64(second))
 	d.backAt = d.from + int64(one(2, 5, 8, 15, 30)*float64(second))
 	return d
 }
 
-// limitedDay is the return of a destination with a known limit, which told each refused call the wait, drawn from a seed.
-func limitedDay(seed uint64) coldDay {
+// drawLimitedScenario draws the return of a destination with a known limit that sends every refused call a Retry-After.
+func drawLimitedScenario(seed uint64) returnScenario {
 	r := rand.New(rand.NewPCG(seed, 98))
 	one := func(of ...float64) float64 { return of[r.IntN(len(of))] }
-	d := coldDay{threeRoots: true, senders: int(one(12, 20, 34, 60)), endpoints: 1 + r.IntN(3), capacity: one(30, 60, 120), how: "shut",
-		trust: NominalWeight, load: one(.75, 1, 1.3), restarted: one(0, 0, .3), tells: one(.5, 1), deaf: r.IntN(2) == 0}
+	d := returnScenario{threeRoots: true, senders: int(one(12, 20, 34, 60)), endpoints: 1 + r.IntN(3), capacity: one(30, 60, 120), fault: "shut",
+		trust: NominalWeight, load: one(.75, 1, 1.3), restarted: one(0, 0, .3), retryAfterShare: one(.5, 1), noNotes: r.IntN(2) == 0}
 	d.from = int64(one(3, 10, 30) * float64(second))
 	d.backAt = d.from + int64(one(1.5, 2, 3, 5)*float64(second))
 	return d
 }
 
-// drawnDays are virtual days drawn from seeds.
-type drawnDays struct {
-	variable string // by hand: so many days in place of the usual ones
+// scenarioSet is a set of simulated returns drawn from seeds.
+type scenarioSet struct {
+	variable string // environment variable that overrides usual
 	usual    int
-	draw     func(uint64) coldDay
-	found    []uint64 // days beyond the usual ones that were once pushed over
-	apart    []uint64 // days that have a test of their own
+	draw     func(uint64) returnScenario
+	found    []uint64 // further seeds whose destination was once overloaded
+	separate []uint64 // seeds with a test of their own
 }
 
-// seeds lists the days to play.
-func (d drawnDays) seeds() (seeds []uint64) {
+// seeds lists the seeds to simulate.
+func (d scenarioSet) seeds() (seeds []uint64) {
 	first := d.usual
 	if n, err := strconv.Atoi(os.Getenv(d.variable)); err == nil {
 		first = n
 	}
 	for seed := range uint64(first) {
-		if !slices.Contains(d.apart, seed) {
+		if !slices.Contains(d.separate, seed) {
 			seeds = append(seeds, seed)
 		}
 	}
@@ -62,55 +62,56 @@
 	return seeds
 }
 
-// Days of TestDrawnReturns that have a test of their own.
+// Seeds of TestDrawnReturns with a test of their own.
 const (
-	overloadedSilentDay = 14
-	fewSawItShutDay     = 193
-	knownLimitDay       = 848
+	overloadedSilentSeed = 14
+	fewSawItShutSeed     = 193
+	knownLimitSeed       = 848
 )
 
-// Guards against a backlog that goes at a return, over outages drawn at random, overload and outages of 2 s among them.
+// Guards against a backlog released at a return, over random outages, including overload and outages of 2 s.
 func TestDrawnReturns(t *testing.T) {
-	playDrawn(t, drawnDays{variable: "DRAWN_RETURNS", usual: 300, draw: drawnDay, found: []uint64{400, 626},
-		apart: []uint64{overloadedSilentDay, fewSawItShutDay, knownLimitDay}})
+	playDrawn(t, scenarioSet{variable: "DRAWN_RETURNS", usual: 300, draw: drawScenario, found: []uint64{400, 626, 4231, 5704},
+		separate: []uint64{overloadedSilentSeed, fewSawItShutSeed, knownLimitSeed}})
 }
 
-// Guards against a sum of new messages that pushes over a silent destination under 1.3 of its load, most of whose senders are restarted.
-func TestDrawnReturnOfAnOverloadedSilentDestination(t *testing.T) { playDay(t, overloadedSilentDay) }
+// Guards against new messages that together overload a silent destination at 1.3 of its load, with most of its senders restarted.
+func TestDrawnReturnOfAnOverloadedSilentDestination(t *testing.T) { playSeed(t, overloadedSilentSeed) }
 
-// Guards against the same at a destination that was shut for 2 s and that few of 120 senders met meanwhile.
-func TestDrawnReturnOfADestinationThatFewSawShut(t *testing.T) { playDay(t, fewSawItShutDay) }
+// Guards against the same at a destination that was shut for 2 s and that few of 120 senders called meanwhile.
+func TestDrawnReturnOfADestinationThatFewSawShut(t *testing.T) { playSeed(t, fewSawItShutSeed) }
 
-// Guards against a pace at a known limit, with all that was held for 30 s at 1.3 of the load, that passes what a cold destination bears.
-func TestDrawnReturnBelowAKnownLimitWithAFullBacklog(t *testing.T) { playDay(t, knownLimitDay) }
+// Guards against a rate at a known limit that, with the backlog of 30 s at 1.3 of the load, exceeds what a cold destination takes.
+func TestDrawnReturnBelowAKnownLimitWithAFullBacklog(t *testing.T) { playSeed(t, knownLimitSeed) }
 
-// Guards against the same at many destinations: even shares of a whole limit, from all senders that hold a backlog, at the return.
+// Guards against the same at many destinations: even shares of a whole limit from all senders with a backlog, at the return.
 func TestReturnBelowAKnownLimitBearsTheSumOfAllSenders(t *testing.T) {
-	playDrawn(t, drawnDays{variable: "LIMITED_RETURNS", usual: 160, draw: limitedDay})
+	playDrawn(t, scenarioSet{variable: "LIMITED_RETURNS", usual: 160, draw: drawLimitedScenario})
 }
 
-// playDay plays one drawn day, which has to keep the budget.
-func playDay(t *testing.T, seed uint64) {
+// playSeed simulates one drawn return, which must keep the budget.
+func playSeed(t *testing.T, seed uint64) {
 	t.Parallel()
-	w := drawnDay(seed).play(seed)
-	assert.False(t, w.fell, "%d ms after the return, by senders that had been told: %v, %+v", (w.now-w.backAt)/ms, w.broken, w.coldDay)
+	w := drawScenario(seed).play(seed)
+	assert.False(t, w.overloaded, "%d ms after the return, by senders that had seen the outage: %v, %+v", (w.now-w.backAt)/ms, w.byAware, w.returnScenario)
 }
 
-// playDrawn plays drawn days. None may be pushed over, whoever sent the calls; it tells the days that were, and how many by senders that had been told.
-func playDrawn(t *testing.T, d drawnDays) {
+// playDrawn simulates drawn returns. None may be overloaded, whoever sent the calls; it logs those that were, and how many by senders that had
+// seen the outage.
+func playDrawn(t *testing.T, d scenarioSet) {
 	seeds := d.seeds()
-	fell, broken := 0, 0
+	overloaded, byAware := 0, 0
 	var mu sync.Mutex
 	t.Run("days", func(t *testing.T) {
 		for part := range drawnParts {
 			t.Run(strconv.Itoa(part), func(t *testing.T) {
 				t.Parallel()
 				for i := part; i < len(seeds); i += drawnParts {
-					if w := d.draw(seeds[i]).play(seeds[i]); w.fell {
-						t.Logf("day %d fell %d ms after the return, by senders that had been told: %v, %+v", seeds[i], (w.now-w.backAt)/ms, w.broken, w.coldDay)
+					if w := d.draw(seeds[i]).play(seeds[i]); w.overloaded {
+						t.Logf("seed %d fell %d ms after the return, by senders that had seen the outage: %v, %+v", seeds[i], (w.now-w.backAt)/ms, w.byAware, w.returnScenario)
 						mu.Lock()
-						if fell++; w.broken {
-							broken++
+						if overloaded++; w.byAware {
+							byAware++
 						}
 						mu.Unlock()
 					}
@@ -118,8 +119,8 @@
 			})
 		}
 	})
-	t.Logf("of %d returns %d pushed over, %d by senders that had been told", len(seeds), fell, broken)
-	assert.Zero(t, fell)
+	t.Logf("of %d returns %d overloaded, %d by senders that had seen the outage", len(seeds), overloaded, byAware)
+	assert.Zero(t, overloaded)
 }
 
 const drawnParts = 8
--- a/choice/errors_return_test.go
+++ b/choice/errors_return_test.go
@@ -6,22 +6,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a backlog that all senders which found a return together let go at one moment, as their slow starts end.
+// Guards against a backlog that all senders which found a return together release at one moment, when their slow starts end.
 func TestReturnAfterErrorsBearsTheSumOfAllSenders(t *testing.T) {
 	t.Parallel()
-	fell, broken := 0, 0
+	overloaded, byAware := 0, 0
 	for seed := range uint64(60) {
 		for _, capacity := range []float64{4, 8, 16, 50} {
-			d := coldDay{threeRoots: true, senders: 34, endpoints: 1, capacity: capacity, how: "errors", trust: NoWeight, load: 1, tells: .5, spread: .3,
+			d := returnScenario{threeRoots: true, senders: 34, endpoints: 1, capacity: capacity, fault: "errors", trust: NoWeight, load: 1, retryAfterShare: .5, spread: .3,
 				from: 3 * second, backAt: 11 * second, restarted: []float64{0, .5}[seed%2]}
-			if w := d.play(seed*7 + 3); w.fell {
-				t.Logf("seed %d, capacity %v: fell %d ms after the return, by senders that had been told: %v", seed, capacity, (w.now-w.backAt)/ms, w.broken)
-				if fell++; w.broken {
-					broken++
+			if w := d.play(seed*7 + 3); w.overloaded {
+				t.Logf("seed %d, capacity %v: fell %d ms after the return, by senders that had seen the outage: %v", seed, capacity, (w.now-w.backAt)/ms, w.byAware)
+				if overloaded++; w.byAware {
+					byAware++
 				}
 			}
 		}
 	}
-	t.Logf("of 240 returns %d pushed over, %d by senders that had been told", fell, broken)
-	assert.Zero(t, fell)
+	t.Logf("of 240 returns %d overloaded, %d by senders that had seen the outage", overloaded, byAware)
+	assert.Zero(t, overloaded)
 }
--- a/choice/events.go
+++ b/choice/events.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// What the module tells people of its decisions, one line of text each. Nothing here decides.
+// The module's decisions as log lines for operators. Nothing here decides.
 
-// ColdCall is a call or probe to a destination that may be cold, and what this sender knew as it let it go. Times are µs.
+// ColdCall logs a call or probe to a destination that may be cold, with what this sender knew when it sent it. Times are µs.
 type ColdCall struct {
-	Now       int64 // by the sender's clock
-	Message   string
-	Receiver  uint32
-	Dst       int64
-	Health    string  // of the receiver at this sender
-	Phase     string  // of its route
-	Listed    int     // receivers of the destination
-	Ill       int     // of those, not open at this sender
-	Strikes   float64 // of the receiver
-	Failures  int     // in a row at the route, with no success between
-	SuccessAt int64   // of the latest success at the route, 0 for none in this process
-	Tokens    float64 // left in the bucket that let it go
-	PerSecond float64 // at which that bucket fills, 0 for no bound
-	Capacity  float64 // calls a second, as this sender takes it for the warm destination
-	Held      int     // messages still waiting there
-	UpFor     int64   // age of this process
+	Now          int64 // by the sender's clock
+	Message      string
+	Receiver     uint32
+	Dst          int64
+	Health       string  // of the receiver, as this sender sees it
+	Phase        string  // recovery phase of the route
+	Listed       int     // receivers of the destination
+	Unhealthy    int     // of those, not open at this sender
+	FailureScore float64 // of the receiver
+	Failures     int     // consecutive, at the route
+	SuccessAt    int64   // of the latest success at the route, 0 for none in this process
+	Tokens       float64 // left in the token bucket that admitted it
+	PerSecond    float64 // fill rate of that bucket, 0 for unlimited
+	Capacity     float64 // calls a second that this sender assumes for the warm destination
+	Queued       int     // messages still waiting for the destination
+	Uptime       int64   // of this process
 }
 
 func (c ColdCall) String() string {
@@ -30,32 +30,32 @@
 		what = "probe"
 	}
 	return fmt.Sprintf("%d ms: %s to receiver %d of destination %d that may be cold: %s, %s, %d of %d ill, %.1f strikes, %d failures in a row, %s, "+
-		"%.2f tokens at %.3f a second of capacity %.2f, %d held, up for %d ms", c.Now/1000, what, c.Receiver, c.Dst, c.Phase, c.Health, c.Ill, c.Listed, c.Strikes,
-		c.Failures, success, c.Tokens, c.PerSecond, c.Capacity, c.Held, c.UpFor/1000)
+		"%.2f tokens at %.3f a second of capacity %.2f, %d held, up for %d ms", c.Now/1000, what, c.Receiver, c.Dst, c.Phase, c.Health, c.Unhealthy, c.Listed, c.FailureScore,
+		c.Failures, success, c.Tokens, c.PerSecond, c.Capacity, c.Queued, c.Uptime/1000)
 }
 
-// RowEnded is a success after failures that closed nothing: the destination counts as warm at once.
-type RowEnded struct {
+// FailuresEnded logs a success after failures that closed nothing: the destination counts as warm at once.
+type FailuresEnded struct {
 	Now      int64
 	Receiver uint32
 	Dst      int64
 	Failures int
-	For      int64 // µs since the first of them
-	Held     int
+	Duration int64 // µs since the first failure
+	Queued   int
 }
 
-func (r RowEnded) String() string {
+func (r FailuresEnded) String() string {
 	return fmt.Sprintf("%d ms: receiver %d of destination %d answers after %d failures in a row over %d ms, %d held", r.Now/1000, r.Receiver, r.Dst,
-		r.Failures, r.For/1000, r.Held)
+		r.Failures, r.Duration/1000, r.Queued)
 }
 
-// PhaseChange is a route's step between warm, suspect and recovering. Times are µs.
+// PhaseChange logs a change of a route's recovery phase. Times are µs.
 type PhaseChange struct {
 	Now       int64
 	Dst       int64
-	Receiver  uint32 // whose outcome brought it
+	Receiver  uint32 // whose outcome caused it
 	From, To  string
-	Failures  int // in a row
+	Failures  int // consecutive
 	SuccessAt int64
 }
 
@@ -74,17 +74,17 @@
 // EndReason is why a message ended undelivered.
 type EndReason uint8
 
-// The reasons.
+// Reasons for an undelivered message.
 const (
-	OutOfTime     EndReason = iota // its deadline, or the end of its key's window
-	NoHopeInTime                   // no receiver may be called before its last chance
-	MayNotRepeat                   // it may have run, or it has had all its attempts
-	NoRetryBudget                  // the destination's retries are spent
-	RetryTooLate                   // the wait told and the jitter pass its last chance
-	NoRoomHeld                     // the holding room is full
-	UnknownDst                     // no list names its destination
-	RecalledAway                   // its tenant was purged, or its channel moved
-	StreamBroken                   // its answer had begun
+	DeadlineExceeded     EndReason = iota // its deadline or its key window is over
+	NoReceiverInTime                      // no receiver may be called before its last chance
+	RetryNotAllowed                       // a leg may have run and the class allows no retry, or its legs are used up
+	RetryBudgetExhausted                  // the destination's retry budget is exhausted
+	RetryTooLate                          // Retry-After and jitter go past its last chance
+	QueueFull                             // the queue is full
+	UnknownDst                            // no list names its destination
+	Recalled                              // its tenant was purged or its channel moved
+	StreamBroken                          // the response broke off after it had started
 	endReasons
 )
 
@@ -93,5 +93,5 @@
 		"recalled", "stream_broken"}[e]
 }
 
-// EndCounts are messages that ended undelivered since the start, by reason.
+// EndCounts counts the messages that ended undelivered since the start, by reason.
 type EndCounts [endReasons]int
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -5,45 +5,45 @@
 	"strings"
 )
 
-// What senders tell one another of receivers. No rule leans on it.
+// Exchange between senders about receivers. No safety rule relies on it.
 
 const (
-	scarceFor   = 60 * second // µs after a failed connect for which no connection is kept idle there
-	hearsayMost = 60 * second // µs; longest wait taken from a fellow, who may be mistaken
+	connScarceFor     = 60 * second // µs after a failed connect for which no idle connection is kept there
+	maxPeerRetryAfter = 60 * second // µs; longest Retry-After accepted from a peer, which may be wrong
 )
 
-// tell notes something of a receiver to the fellows, once in a span. No rule leans on a note: who hears of a
-// return sends no more than its share of slow start.
-func (s *Sender) tell(r *receiver, mark string, till *int64, span int64) {
-	if s.now >= *till && s.allowed.Notes {
-		s.host.Note(mark + strconv.FormatUint(uint64(r.id), 10))
+// sendNote broadcasts a note about a receiver to the peers, once per span. No safety rule relies on notes: a peer that hears of a recovery sends
+// no more than its share of slow start.
+func (s *Sender) sendNote(r *receiver, mark string, until *int64, span int64) {
+	if s.now >= *until && s.caps.PeerNotes {
+		s.host.Broadcast(mark + strconv.FormatUint(uint64(r.id), 10))
 	}
-	*till = s.now + span
+	*until = s.now + span
 }
 
-// Noted takes a fellow's note: connections are scarce there, or it is back. Dangers: idle connections, ours
-// or others', may take all that a receiver has; alone in a large fleet a return is found after minutes.
-func (s *Sender) Noted(text string) {
-	number, back := strings.CutPrefix(text, backMark)
-	number, press := strings.CutPrefix(number, pressMark)
+// ReceiveNote takes a peer's note of scarce connections, a refusal or a recovery. Idle connections, ours or others', may use up all that a
+// receiver accepts; and a sender alone in a large fleet would find a recovery only after minutes.
+func (s *Sender) ReceiveNote(text string) {
+	number, recovered := strings.CutPrefix(text, recoveryMark)
+	number, refused := strings.CutPrefix(number, refusalMark)
 	number, rate, _ := strings.Cut(number, rateMark)
 	id, err := strconv.ParseUint(number, 10, 32)
 	r := s.recvs[uint32(id)]
 	switch {
 	case err != nil || r == nil:
-	case press:
-		s.heardRate(rate)
-		r.route.pressed(s.now, s.target(), s.chance())
+	case refused:
+		s.learnPeerRate(rate)
+		r.route.throttle(s.now, s.target(), s.chance())
 		s.wake(r.dst)
-	case !back:
-		r.used().scarceTill = s.now + scarceFor
+	case !recovered:
+		r.used().connScarceUntil = s.now + connScarceFor
 	default:
-		s.Told(Sight{Kind: SeenBack, Receiver: r.id})
+		s.ReceiveObservation(Observation{Kind: ObservedRecovery, Receiver: r.id})
 	}
 }
 
-// Told takes a fellow's sight. No rule leans on it; a false one heals, for it is not told on.
-func (s *Sender) Told(v Sight) {
+// ReceiveObservation takes a peer's observation. No safety rule relies on it; a false one is corrected in time, as it is not forwarded.
+func (s *Sender) ReceiveObservation(v Observation) {
 	r := s.recvs[v.Receiver]
 	if r == nil {
 		return
@@ -51,36 +51,36 @@
 	seenAt := s.now - v.Age
 	r.used()
 	switch v.Kind {
-	case SeenWait:
-		r.route.waitUntil = max(r.route.waitUntil, s.now+min(v.Wait, hearsayMost))
-	case SeenDown:
-		if r.health != closed && r.okAt < seenAt && r.since < seenAt {
-			s.shut(r, seenAt)
+	case ObservedRetryAfter:
+		r.route.waitUntil = max(r.route.waitUntil, s.now+min(v.RetryAfter, maxPeerRetryAfter))
+	case ObservedDown:
+		if r.health != closed && r.lastDeliveredAt < seenAt && r.since < seenAt {
+			s.closeUnshared(r, seenAt)
 		}
-	case SeenBack:
+	case ObservedRecovery:
 		if r.since > seenAt {
 			return
 		}
-		r.toldBack, r.scarceTill = s.now+backEvery, 0 // connects that failed were its outage
+		r.recoveryNotedUntil, r.connScarceUntil = s.now+recoveryNoteGap, 0 // the connects failed because of its outage
 		if r.health == closed {
-			s.become(r, warming)
+			s.setHealth(r, warming)
 		}
-		if r.route.recovery.phase == suspect { // danger: all that hear it have waited long enough to call at once
+		if r.route.recovery.phase == suspect { // all senders that hear it have waited long enough to call at once, so their tokens are redrawn
 			s.recoveryAnswered(r, false)
-			s.drawRecovery(r.route)
+			s.drawTokens(r.route)
 		}
-	case SeenLimit:
+	case ObservedLimit:
 		if r.route.share == 0 && v.PerSec > 0 {
-			r.route.told = v.PerSec
-			r.route.know(v.PerSec / float64(s.team.Senders))
+			r.route.announcedLimit = v.PerSec
+			r.route.setShare(v.PerSec / float64(s.topology.Senders))
 		}
-	case SeenScarce:
-		r.scarceTill = max(r.scarceTill, seenAt+scarceFor)
+	case ObservedConnShortage:
+		r.connScarceUntil = max(r.connScarceUntil, seenAt+connScarceFor)
 	}
 }
 
-// saw has the fellows told what this sender saw itself.
-func (s *Sender) saw(r *receiver, v Sight) {
+// shareObservation shares what this sender observed itself with the peers.
+func (s *Sender) shareObservation(r *receiver, v Observation) {
 	v.Receiver, v.Dst = r.id, r.dst.id
-	s.host.Saw(v)
+	s.host.Share(v)
 }
--- a/choice/heap.go
+++ b/choice/heap.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// expiryHeap holds the messages that still owe an answer, the earliest give-up first.
+// expiryHeap holds the messages that have no final answer yet, ordered by giveUp.
 type expiryHeap []*msg
 
 func (h expiryHeap) Len() int           { return len(h) }
@@ -12,14 +12,14 @@
 	h[i].at, h[j].at = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
 	m := x.(*msg)
 	m.at = len(*h)
 	*h = append(*h, m)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *expiryHeap) Pop() any {
 	m := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -39,7 +39,7 @@
 	}
 }
 
-// wakeHeap holds the destinations to be looked at later, the earliest first.
+// wakeHeap holds the destinations to be processed later, ordered by wakeAt.
 type wakeHeap []*dst
 
 func (h wakeHeap) Len() int           { return len(h) }
@@ -49,14 +49,14 @@
 	h[i].at, h[j].at = int32(i), int32(j)
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *wakeHeap) Push(x any) {
 	d := x.(*dst)
 	d.at = int32(len(*h))
 	*h = append(*h, d)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *wakeHeap) Pop() any {
 	d := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -78,24 +78,24 @@
 	}
 }
 
-// unlisted is a receiver that no list names, and when one last did as far as was known when it was queued.
+// unlisted is a receiver that no list names, and when one last did as known at the time of queueing.
 type unlisted struct {
 	r  *receiver
 	at int64
 }
 
-// goneHeap holds unlisted receivers, the earliest first.
-type goneHeap []unlisted
+// unlistedHeap holds unlisted receivers, the earliest first.
+type unlistedHeap []unlisted
 
-func (h goneHeap) Len() int           { return len(h) }
-func (h goneHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h goneHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h unlistedHeap) Len() int           { return len(h) }
+func (h unlistedHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h unlistedHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
-func (h *goneHeap) Push(x any) { *h = append(*h, x.(unlisted)) }
+// Push implements heap.Interface.
+func (h *unlistedHeap) Push(x any) { *h = append(*h, x.(unlisted)) }
 
-// Pop is for container/heap.
-func (h *goneHeap) Pop() any {
+// Pop implements heap.Interface.
+func (h *unlistedHeap) Pop() any {
 	last := len(*h) - 1
 	u := (*h)[last]
 	(*h)[last] = unlisted{}
--- a/choice/host.go
+++ b/choice/host.go
@@ -1,96 +1,95 @@
 // Package choice decides, for one sender, which message goes to which receiver and when.
 package choice
 
-// Host is all that a Sender can do to the world. Times are whole microseconds, ids are as the wire gave
-// them.
+// Host executes the actions of a Sender. Times are whole microseconds, ids are as received on the wire.
 type Host interface {
-	Send(msg string, receiver uint32, patience int64)
+	Send(msg string, receiver uint32, timeout int64)
 	Cancel(msg string, leg int)
-	PushBack(msg string, comeBackIn int64)
+	Reject(msg string, retryAfter int64)
 	Fail(msg string)
-	Timer(in int64, token uint64)
+	SetTimer(in int64, token uint64)
 	Probe(receiver uint32)
 	CloseIdle(receiver uint32)
-	Note(text string)
+	Broadcast(text string)
 	Subscribe()
 	Log(text string)
-	Saw(Sight) // something that fellows may want to know
+	Share(Observation) // an observation that may be useful to peers
 }
 
-// Repeat says what a lane allows for a message that may have run.
-type Repeat uint8
+// RetryMode says whether a message that may have run may be retried.
+type RetryMode uint8
 
-// The three kinds of lane.
+// Retry modes of a class.
 const (
-	NonRetriable Repeat = iota
+	NonRetriable RetryMode = iota
 	Keyed
 	Retriable
 )
 
-// Lane is a kind of traffic.
-type Lane struct {
-	Repeat    Repeat
-	AnyInDst  bool  // keyed: every receiver of the destination knows the key; else those of one zone
-	Window    int64 // keyed: how long the key is remembered
-	Target    int64
-	Deadline  int64
-	Value     float64
-	LateValue float64 // share of the value left at the deadline
-	InOrder   bool    // messages of one key take turns
+// Class is a traffic class.
+type Class struct {
+	RetryMode   RetryMode
+	DstWideKeys bool  // Keyed: all receivers of the destination share the keys; else only those of one zone
+	KeyWindow   int64 // Keyed: how long a key is remembered
+	Target      int64
+	Deadline    int64
+	Value       float64
+	LateValue   float64 // share of the value left at the deadline
+	Ordered     bool    // messages of one key are sent one after the other
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	Apart bool // its receivers are routes with limits, waits and outages of their own
-	Batch int  // messages that one call takes
+	PerReceiver bool // limits, Retry-After and outages are tracked per receiver
+	Batch       int  // messages that one call takes
 }
 
-// Team is how many senders there are, and where this one stands.
-type Team struct {
+// Topology is the number of senders and the position of this one.
+type Topology struct {
 	Senders, Zone int
-	CrossingFee   float64 // price of a leg to another zone, in values
+	CrossZoneCost float64 // cost of a leg to another zone, in units of Class.Value
 }
 
-// Room is what a sender has to work with.
-type Room struct {
-	Slots, Held, Legs int
-	Idle              int64 // how long a connection stands idle until it closes
-	HalvesLate        bool  // late value falls by half with each further target time, not evenly
+// Limits bounds the resources of a sender.
+type Limits struct {
+	MaxCalls, MaxQueued, MaxLegs int
+	IdleTimeout                  int64 // after which an idle connection closes
+	ExponentialDecay             bool  // late value halves with each further target time; else it falls linearly
 }
 
-// Allowed is what the deployment lets a sender do.
-type Allowed struct {
-	Probes, Subscribe, Notes, Cancel bool
-	MaxAdvice                        int64 // longest a client may be told to wait, 0 where it is told nothing
+// Capabilities says which operations the deployment offers to a sender.
+type Capabilities struct {
+	Probes, Subscribe, PeerNotes, Cancel bool
+	MaxRetryAfter                        int64 // longest Retry-After given to a client, 0 where none may be given
 }
 
-// Guards are the figures of the rules.
-type Guards struct {
-	StartShare float64 // a destination back from an outage has this share of its capacity
-	WarmWithin int64
-	Overload   float64 // sent more than this multiple of what it can do
-	KeyRest    int64
-	AskWithin  int64 // without a watch on the list, it must be asked for at least so often
+// Rules holds the figures of the safety rules.
+type Rules struct {
+	StartCapacity     float64 // share of its capacity that a destination has right after an outage
+	WarmUpTime        int64
+	OverloadFactor    float64 // multiple of its current capacity beyond which a destination is overloaded
+	KeyQuietTime      int64
+	MaxLookupInterval int64 // longest time between two lookups of the list without a watch
 }
 
-// WeightTrust says what the weights of a list are good for.
+// WeightTrust says how far the weights of a list can be trusted.
 type WeightTrust uint8
 
-// What a listed weight may be.
+// Meanings of a listed weight.
 const (
 	NoWeight WeightTrust = iota
 	RoughWeight
 	NominalWeight
 )
 
-// ListForm says how a list of receivers is to be read.
-type ListForm uint8
+// ListKind says how a list of receivers is to be applied.
+type ListKind uint8
 
-// The forms in which a list comes.
+// Kinds of list.
 const (
-	Changes ListForm = iota
-	Whole
-	Remembered
+	Delta ListKind = iota
+	Snapshot
+	Cached
 	LookupFailed
 )
 
@@ -107,47 +106,47 @@
 // Outcome is how a leg or a probe ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a leg or a probe.
 const (
 	Delivered Outcome = iota
 	Errored
-	Full
+	Refused
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Skipped
+	NotSent
 )
 
 // NeverRan tells whether the outcome proves that the leg had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Skipped }
+func (o Outcome) NeverRan() bool { return o == Refused || o == ConnectFailed || o == NotSent }
 
-// Report is what an answer told of the limit; zero where it told nothing.
-type Report struct {
-	Told        bool
-	ShareLeft   float64
-	LimitPerSec float64
+// RateLimit is what a response announced of the rate limit; zero where it announced nothing.
+type RateLimit struct {
+	Known          bool
+	RemainingShare float64
+	LimitPerSec    float64
 }
 
-// SightKind says what was seen.
-type SightKind uint8
+// ObservationKind says what was observed.
+type ObservationKind uint8
 
-// What a sender sees of a receiver, or of its route.
+// What a sender observes of a receiver or its route.
 const (
-	SeenDown   SightKind = iota // closed
-	SeenBack                    // delivers again, cold
-	SeenWait                    // told a wait
-	SeenLimit                   // told its limit
-	SeenScarce                  // short of connections
+	ObservedDown         ObservationKind = iota // closed
+	ObservedRecovery                            // delivers again, cold
+	ObservedRetryAfter                          // sent a Retry-After
+	ObservedLimit                               // announced its limit
+	ObservedConnShortage                        // short of connections
 )
 
-// Sight is what one sender saw and tells its fellows. What a kind does not name is zero. It may be wrong.
-type Sight struct {
-	Kind     SightKind
-	Receiver uint32
-	Dst      int64
-	Wait     int64   // µs left of a told wait
-	PerSec   float64 // calls a second, the told limit
-	Warm     float64 // of the warm time, from 0 to 1
-	Age      int64   // µs since it was seen
+// Observation is what one sender observed and shares with its peers. It may be wrong. Fields that its kind does not use are zero.
+type Observation struct {
+	Kind       ObservationKind
+	Receiver   uint32
+	Dst        int64
+	RetryAfter int64   // µs left of the Retry-After
+	PerSec     float64 // announced limit, calls a second
+	Warm       float64 // progress of the warm-up from 0 to 1
+	Age        int64   // µs since the observation
 }
--- a/choice/list.go
+++ b/choice/list.go
@@ -5,76 +5,77 @@
 	"slices"
 )
 
-// What the module keeps of lists, without any decision. A change costs by what changes; only a whole list costs by all that is known.
+// Bookkeeping of receiver lists. Nothing here decides. A delta costs in proportion to its entries; only a snapshot costs in proportion to all
+// receivers.
 
 const (
-	keepGone = 60 * second // µs unlisted until a receiver is forgotten: it may come back as ill as it was
+	keepGone = 60 * second // µs unlisted until a receiver is forgotten: it may come back as unhealthy as it was
 )
 
-const fewReceivers = 16 // of a destination: so many are walked rather than counted apart
+const fewReceivers = 16 // receivers of a destination up to which they are scanned rather than counted separately
 
 func (s *Sender) newReceiver(id uint32, d *dst) *receiver {
-	r := &receiver{id: id, dst: d, route: &d.route, conduct: idleConduct}
-	if d.kind.Apart {
+	r := &receiver{id: id, dst: d, route: &d.route, receiverState: unusedReceiver}
+	if d.kind.PerReceiver {
 		r.route = newRoute()
 	}
 	s.recvs[id] = r
-	d.known++
+	d.knownRecvs++
 	return r
 }
 
-// listBegins makes the tables for a first list of so many entries at once; a whole one leaves nothing listed, and it returns what was.
-func (s *Sender) listBegins(form ListForm, n int) []*receiver {
+// listBegins allocates the maps for a first list of n entries; a snapshot unlists everything, and it returns the receivers listed before.
+func (s *Sender) listBegins(form ListKind, n int) []*receiver {
 	if len(s.recvs) == 0 && len(s.dsts) == 0 && n > 0 {
 		s.recvs, s.dsts = make(map[uint32]*receiver, n), make(map[int64]*dst, n)
 		s.order = slices.Grow(s.order, n)
 	}
-	if form == Changes {
+	if form == Delta {
 		return nil
 	}
 	return s.unlistAll()
 }
 
-func (s *Sender) unlistAll() (were []*receiver) {
+func (s *Sender) unlistAll() (before []*receiver) {
 	for _, d := range s.order {
 		for _, r := range d.recvs {
 			r.listedAt = s.now
 			if r.dst == d {
-				r.place = 0
-				were = append(were, r)
+				r.listIndex = 0
+				before = append(before, r)
 			}
 		}
 		clear(d.recvs)
 		d.recvs = d.recvs[:0]
 	}
-	return were
+	return before
 }
 
-// list puts a receiver last in a destination's list, or takes it from there. Its earlier place stays as a gap until the list ends.
+// list appends a receiver to a destination's list or removes it. Its earlier entry stays as a gap until the list ends.
 func (s *Sender) list(d *dst, r *receiver, listed bool) {
-	if r.dst != d { // it was another's before, and keeps that one's route
+	if r.dst != d { // first listed for another destination, whose route it keeps
 		s.listElsewhere(d, r, listed)
 		return
 	}
-	n, counted := s.unwells[d]
-	if counted && r.unwell() {
-		if r.place > 0 {
+	n, counted := s.unhealthyCounts[d]
+	if counted && r.unhealthy() {
+		if r.listIndex > 0 {
 			n--
 		}
 		if listed {
 			n++
 		}
-		s.unwells[d] = n
+		s.unhealthyCounts[d] = n
 	}
-	if r.place > 0 {
-		s.gap(d)
+	if r.listIndex > 0 {
+		s.markGap(d)
 	}
-	r.place = 0
+	r.listIndex = 0
 	if listed {
 		d.recvs = append(d.recvs, r)
-		r.place = int32(len(d.recvs))
+		r.listIndex = int32(len(d.recvs))
 	} else {
-		s.leaves(r)
+		s.scheduleSweep(r)
 	}
 }
 
@@ -85,23 +86,23 @@
 		d.recvs = append(d.recvs, r)
 	}
 	d.renumber()
-	delete(s.unwells, d)
-	if r.place == 0 {
-		s.leaves(r)
+	delete(s.unhealthyCounts, d)
+	if r.listIndex == 0 {
+		s.scheduleSweep(r)
 	}
 }
 
-func (s *Sender) gap(d *dst) {
+func (s *Sender) markGap(d *dst) {
 	if !d.gaps {
 		d.gaps = true
 		s.gapped = append(s.gapped, d)
 	}
 }
 
-// lists tells whether a place is a receiver's latest.
-func (d *dst) lists(i int) bool { return d.recvs[i].dst != d || int(d.recvs[i].place) == i+1 }
+// lists tells whether an entry is its receiver's latest.
+func (d *dst) lists(i int) bool { return d.recvs[i].dst != d || int(d.recvs[i].listIndex) == i+1 }
 
-// compact closes the gaps. Danger: closed at each entry, the receivers of a large destination would cost their square.
+// compact closes the gaps. Doing so at each entry would cost quadratic time in the receivers of a large destination.
 func (d *dst) compact() {
 	n := 0
 	for i, r := range d.recvs {
@@ -118,84 +119,84 @@
 func (d *dst) renumber() {
 	for i, r := range d.recvs {
 		if r.dst == d {
-			r.place = int32(i + 1)
+			r.listIndex = int32(i + 1)
 		}
 	}
 }
 
-// unwell counts the receivers listed at a destination that are not well. The count of a large one is kept until the list ends.
-func (s *Sender) unwell(d *dst) (n int) {
-	n, counted := s.unwells[d]
+// unhealthy counts the unhealthy listed receivers of a destination. The count of a large one is cached until the list ends.
+func (s *Sender) unhealthy(d *dst) (n int) {
+	n, counted := s.unhealthyCounts[d]
 	if counted {
 		return n
 	}
 	for i, r := range d.recvs {
-		if r.unwell() && d.lists(i) {
+		if r.unhealthy() && d.lists(i) {
 			n++
 		}
 	}
 	if len(d.recvs) > fewReceivers {
-		if s.unwells == nil {
-			s.unwells = map[*dst]int{}
+		if s.unhealthyCounts == nil {
+			s.unhealthyCounts = map[*dst]int{}
 		}
-		s.unwells[d] = n
+		s.unhealthyCounts[d] = n
 	}
 	return n
 }
 
-// listEnds closes the gaps of a list that was taken in; were are those listed before a whole one.
-func (s *Sender) listEnds(were []*receiver) {
+// listEnds closes the gaps of an applied list; before are the receivers listed before a snapshot.
+func (s *Sender) listEnds(before []*receiver) {
 	for _, d := range s.gapped {
 		d.compact()
 		d.gaps = false
 	}
-	for _, r := range were {
-		if r.place == 0 {
-			s.leaves(r)
+	for _, r := range before {
+		if r.listIndex == 0 {
+			s.scheduleSweep(r)
 		}
 	}
-	s.gapped, s.unwells = nil, nil
+	s.gapped, s.unhealthyCounts = nil, nil
 }
 
-// leaves has a receiver that is unlisted looked at once keepGone is over.
-func (s *Sender) leaves(r *receiver) {
-	if !r.leaving {
-		r.leaving = true
-		heap.Push(&s.gone, unlisted{r, r.listedAt})
+// scheduleSweep has an unlisted receiver checked once keepGone is over.
+func (s *Sender) scheduleSweep(r *receiver) {
+	if !r.sweepScheduled {
+		r.sweepScheduled = true
+		heap.Push(&s.unlistedRecvs, unlisted{r, r.listedAt})
 	}
 }
 
-// mayBeBare has the next sweep look at a destination.
-func (s *Sender) mayBeBare(d *dst) {
-	if !d.bare {
-		d.bare = true
-		s.bare = append(s.bare, d)
+// markMaybeEmpty has the next sweep check a destination.
+func (s *Sender) markMaybeEmpty(d *dst) {
+	if !d.maybeEmpty {
+		d.maybeEmpty = true
+		s.maybeEmpty = append(s.maybeEmpty, d)
 	}
 }
 
-// sweep drops receivers that no list has named for long and that nothing is out to, and then destinations
-// left with nothing. It looks only at those unlisted for so long and at destinations without receivers.
+// sweep removes receivers that are unlisted for keepGone and have nothing in flight, then destinations that have nothing left. It checks only
+// those unlisted for that long and destinations without receivers.
 func (s *Sender) sweep() {
-	s.forgot = nil
+	s.forgotten = nil
 	again := s.lingering
 	s.lingering = nil
-	for len(s.gone) > 0 && s.now-s.gone[0].at > keepGone {
-		again = append(again, heap.Pop(&s.gone).(unlisted).r)
+	for len(s.unlistedRecvs) > 0 && s.now-s.unlistedRecvs[0].at > keepGone {
+		again = append(again, heap.Pop(&s.unlistedRecvs).(unlisted).r)
 	}
 	for _, r := range again {
-		r.leaving = false
+		r.sweepScheduled = false
 		switch {
-		case r.place > 0:
+		case r.listIndex > 0:
 		case s.now-r.listedAt <= keepGone:
-			s.leaves(r)
+			s.scheduleSweep(r)
 		case r.calls > 0 || r.probing:
-			r.leaving = true
+			r.sweepScheduled = true
 			s.lingering = append(s.lingering, r)
 		default:
 			s.forgetReceiver(r)
 		}
 	}
-	s.sweepBare()
+	s.sweepEmpty()
 }
 
 func (s *Sender) forgetReceiver(r *receiver) {
@@ -203,21 +204,21 @@
 	if r.route != &r.dst.route {
 		s.forgetCold(r.route)
 	}
-	s.forgot = append(s.forgot, r.id)
-	if r.dst.known--; r.dst.known == 0 {
-		s.mayBeBare(r.dst)
+	s.forgotten = append(s.forgotten, r.id)
+	if r.dst.knownRecvs--; r.dst.knownRecvs == 0 {
+		s.markMaybeEmpty(r.dst)
 	}
 }
 
-// sweepBare drops the destinations without anything. The fixed order moves up over their places: a move of memory, no walk.
-func (s *Sender) sweepBare() {
+// sweepEmpty removes destinations without receivers, messages and calls. The order closes up by moving memory, without a scan.
+func (s *Sender) sweepEmpty() {
 	var left []*dst
 	var places []int
-	for _, d := range s.bare {
+	for _, d := range s.maybeEmpty {
 		switch {
-		case d.known > 0:
-			d.bare = false
-		case len(d.recvs) > 0 || len(d.held) > 0 || len(d.calls) > 0:
+		case d.knownRecvs > 0:
+			d.maybeEmpty = false
+		case len(d.recvs) > 0 || len(d.queued) > 0 || len(d.calls) > 0:
 			left = append(left, d)
 		default:
 			delete(s.dsts, d.id)
@@ -227,7 +228,7 @@
 			places = append(places, i)
 		}
 	}
-	s.bare = left
+	s.maybeEmpty = left
 	slices.Sort(places)
 	for n, i := range places {
 		next := len(s.order)
--- a/choice/list_test.go
+++ b/choice/list_test.go
@@ -14,17 +14,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestMain sees after all tests that nothing was written to what stands in for all that is unused.
+// TestMain checks after all tests that the shared zero values for unused state were not written to.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if !assert.ObjectsAreEqual([]any{&pace{}, &conduct{}, &traffic{firstChance: never}}, []any{idlePace, idleConduct, idleTraffic}) {
-		fmt.Printf("something was written to what stands in for the unused: %+v, %+v, %+v\n", *idlePace, *idleConduct, *idleTraffic)
+	if !assert.ObjectsAreEqual([]any{&routeState{}, &receiverState{}, &dstState{firstChance: never}}, []any{unusedRoute, unusedReceiver, unusedDst}) {
+		fmt.Printf("the shared zero values for unused state were written to: %+v, %+v, %+v\n", *unusedRoute, *unusedReceiver, *unusedDst)
 		code = 1
 	}
 	os.Exit(code)
 }
 
-// past is what was known before a list, to be walked as sweep once did.
+// past is the state before a list, for comparison with a full scan.
 type past struct {
 	recvs []*receiver
 	dsts  []*dst
@@ -38,8 +38,8 @@
 	return p
 }
 
-// walked is what the walk over all would have left of what was known before a list and came with it: receivers by id, destinations
-// in their order; and how many receivers it forgot.
+// walked is what a full scan would have left of the state before a list and what came with it: receivers by id, destinations in order; and the
+// ids of the receivers it removed.
 func (f *fake) walked(p past) (recvs map[uint32]*receiver, dsts []*dst, forgot []uint32) {
 	recvs, inUse := map[uint32]*receiver{}, map[*dst]bool{}
 	for _, r := range append(p.recvs, f.snapshot().recvs...) {
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, d := range append(p.dsts, f.order...) {
-		if inUse[d] || len(d.recvs) > 0 || len(d.held) > 0 || len(d.calls) > 0 {
+		if inUse[d] || len(d.recvs) > 0 || len(d.queued) > 0 || len(d.calls) > 0 {
 			dsts = append(dsts, d)
 		}
 	}
@@ -58,51 +58,51 @@
 	return recvs, slices.Compact(dsts), forgot
 }
 
-// listed is a receiver as the measure knows it: those forgotten and listed again are new ones.
+// listed identifies a receiver in the expected lists: one removed and listed again is a new one.
 type listed struct {
 	id  uint32
 	gen int
 }
 
-// What is forgotten, when, and the order of receivers in a list are as the walk over everything had them.
-func TestForgettingIsAsAWalkOverEverything(t *testing.T) {
-	forgotten, dropped, lingered, moved, bare := 0, 0, 0, 0, 0
+// Compares what is removed, when, and the order of receivers in a list with a full scan.
+func TestSweepEqualsAFullScan(t *testing.T) {
+	forgotten, dropped, lingered, moved, maybeEmpty := 0, 0, 0, 0, 0
 	for seed := range uint64(12) {
-		f := begin(t, keyed, 6, 2, aLot, Kind{Batch: 1})
+		f := newFake(t, keyed, 6, 2, highWeight, Kind{Batch: 1})
 		f.seed, f.draws = seed, 1000
 		n := func(below int) int { return int(f.chance() * float64(below)) }
 		lists, gens := map[int64][]listed{7: {{1, 0}, {2, 0}}}, map[uint32]int{}
 		home := map[uint32]int64{1: 7, 2: 7}
 		for i := range 1200 {
-			f.At(f.now + int64(f.chance()*float64(8*second)))
+			f.SetTime(f.now + int64(f.chance()*float64(8*second)))
 			for range n(3) {
-				f.Take(fmt.Sprint(seed, "-", i, "-", f.draws), 0, "", int64(n(9)), f.now+28*second)
+				f.Accept(fmt.Sprint(seed, "-", i, "-", f.draws), 0, "", int64(n(9)), f.now+28*second)
 			}
 			if n(20) == 0 {
 				to := int64(100 + n(5))
-				f.Owes(to)
-				f.Take(fmt.Sprint(seed, "owed", i), 0, "", to, f.now+28*second)
+				f.RestoreDst(to)
+				f.Accept(fmt.Sprint(seed, "owed", i), 0, "", to, f.now+28*second)
 			}
 			for _, id := range slices.Sorted(maps.Keys(f.msgs)) {
 				m := f.msgs[id]
 				if l := len(m.legs); l > 0 && !m.legs[l-1].settled {
-					f.Settled(id, l-1, []Outcome{Delivered, TimedOut, Reset, Full}[l%4], second, l%4 == 0, Report{})
+					f.LegEnded(id, l-1, []Outcome{Delivered, TimedOut, Reset, Refused}[l%4], second, l%4 == 0, RateLimit{})
 					break
 				}
 			}
 			if r := f.recvs[uint32(n(40))]; r != nil && n(4) == 0 {
 				f.close(r, f.now)
 			} else if r != nil {
-				f.Probed(r.id, TimedOut, Report{})
+				f.ProbeEnded(r.id, TimedOut, RateLimit{})
 			}
 			f.Decide()
-			form, p := []ListForm{Changes, Changes, Changes, Changes, Changes, Changes, Whole, Remembered}[n(8)], f.snapshot()
-			if form != Changes {
+			form, p := []ListKind{Delta, Delta, Delta, Delta, Delta, Delta, Snapshot, Cached}[n(8)], f.snapshot()
+			if form != Delta {
 				lists = map[int64][]listed{}
 			}
 			var es []Entry
 			for range n(7) {
-				e := Entry{Receiver: uint32(n(40)), Listed: n(2) == 0, Weight: aLot}
+				e := Entry{Receiver: uint32(n(40)), Listed: n(2) == 0, Weight: highWeight}
 				e.Dst = int64(e.Receiver % 8)
 				if n(60) == 0 {
 					e.Dst = int64(n(8))
@@ -118,7 +118,7 @@
 				}
 				es = append(es, e)
 			}
-			f.Listed(form, es)
+			f.UpdateList(form, es)
 			recvs, dsts, forgot := f.walked(p)
 			require.Equal(t, len(recvs), len(f.recvs), "seed %d, list %d", seed, i)
 			for id, r := range recvs {
@@ -133,37 +133,37 @@
 				require.Equal(t, len(ids), len(d.recvs))
 				for i, r := range d.recvs {
 					require.Equal(t, ids[i].id, r.id)
-					require.True(t, r.dst != d || int(r.place) == i+1, "place")
+					require.True(t, r.dst != d || int(r.listIndex) == i+1, "place")
 				}
 			}
 			require.ElementsMatch(t, forgot, f.Forgotten())
 			for _, id := range forgot {
 				gens[id]++
 			}
-			forgotten, dropped, lingered, bare = forgotten+len(forgot), dropped+len(p.dsts)-len(dsts), lingered+len(f.lingering), bare+len(f.bare)
-			require.LessOrEqual(t, len(f.gone), len(f.recvs), "once each")
+			forgotten, dropped, lingered, maybeEmpty = forgotten+len(forgot), dropped+len(p.dsts)-len(dsts), lingered+len(f.lingering), maybeEmpty+len(f.maybeEmpty)
+			require.LessOrEqual(t, len(f.unlistedRecvs), len(f.recvs), "once each")
 			require.Empty(t, f.gapped)
 		}
 	}
-	for what, n := range map[string]int{"receivers": forgotten, "kept for what is out": lingered, "moved": moved, "bare": bare} {
+	for what, n := range map[string]int{"receivers": forgotten, "kept for calls in flight": lingered, "moved": moved, "maybe empty": maybeEmpty} {
 		assert.Greater(t, n, 20, what)
 	}
 }
 
-// A new receiver starts warming where one listed there is unwell at that place of the list, however many there are.
-func TestANewReceiverSeesWhoIsUnwellAtItsPlaceInTheList(t *testing.T) {
+// A new receiver starts warming if one listed there is unhealthy at that point of the list, however many there are.
+func TestANewReceiverSeesWhoIsUnhealthyAtItsPlaceInTheList(t *testing.T) {
 	for _, n := range []uint32{2, 3 * fewReceivers} {
-		f := begin(t, keyed, 4, int(n), aLot, Kind{Batch: 1})
-		f.recvs[1].used().route.okAt = f.now // by another one: the trouble is the receiver's own
+		f := newFake(t, keyed, 4, int(n), highWeight, Kind{Batch: 1})
+		f.recvs[1].used().route.lastSuccessAt = f.now // by another one, so the fault is the receiver's own
 		f.close(f.recvs[1], f.now)
-		f.Listed(Changes, []Entry{
+		f.UpdateList(Delta, []Entry{
 			{Receiver: 100, Dst: 7, Listed: true}, {Receiver: 100, Dst: 7}, {Receiver: 1, Dst: 7, Listed: true}, {Receiver: 101, Dst: 7, Listed: true},
 			{Receiver: 101, Dst: 7}, {Receiver: 1, Dst: 7}, {Receiver: 102, Dst: 7, Listed: true}, {Receiver: 1, Dst: 7, Listed: true}, {Receiver: 103, Dst: 7, Listed: true}})
 		assert.Equal(t, []health{warming, warming, open, warming}, []health{f.recvs[100].health, f.recvs[101].health, f.recvs[102].health, f.recvs[103].health}, "%d", n)
 	}
 }
 
-// took is the least processor time that f takes. Time by the clock would count what else the machine runs meanwhile.
+// took is the least processor time that f takes. Wall-clock time would include what else the machine runs meanwhile.
 func took(runs int, f func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -183,22 +183,23 @@
 	return least
 }
 
-// The receivers of one destination cost by their number, whole or in changes, new or known; their square would be 64 times as much.
+// The cost of a destination's receivers is linear in their number, in a snapshot or in deltas, new or known; quadratic cost would be 64 times as
+// much.
 func TestReceiversOfOneDestinationCostByTheirNumber(t *testing.T) {
-	run := func(n int, form ListForm, known bool) time.Duration {
+	run := func(n int, form ListKind, known bool) time.Duration {
 		var es []Entry
 		for i := range n {
 			es = append(es, Entry{Receiver: uint32(i + 10), Dst: 8, Listed: true})
 		}
-		f := begin(t, keyed, 4, 1, aLot, Kind{Batch: 1})
+		f := newFake(t, keyed, 4, 1, highWeight, Kind{Batch: 1})
 		return took(9, func() {
 			if !known {
-				f = begin(t, keyed, 4, 1, aLot, Kind{Batch: 1})
+				f = newFake(t, keyed, 4, 1, highWeight, Kind{Batch: 1})
 			}
-			f.Listed(form, es)
+			f.UpdateList(form, es)
 		})
 	}
-	for _, form := range []ListForm{Changes, Whole} {
+	for _, form := range []ListKind{Delta, Snapshot} {
 		for _, known := range []bool{false, true} {
 			few, many := run(2000, form, known), run(16_000, form, known)
 			t.Logf("%.1f", float64(many)/float64(few))
@@ -207,7 +208,7 @@
 	}
 }
 
-// ring is the budget as it was: all spans that can live, each in its place.
+// ring is the reference implementation of the budget: all spans that can live, each in its slot.
 type ring struct {
 	spans [int(ttl/creditSpan) + 1]credits
 	spent float64
@@ -225,9 +226,9 @@
 	return live
 }
 
-// A budget that keeps live spans only is the ring's to the last bit, and never larger.
-func TestABudgetOfLiveSpansIsTheRing(t *testing.T) {
-	f := begin(t, keyed, 4, 1, aLot, Kind{Batch: 1})
+// A budget that stores live spans only equals the ring to the last bit, and is never larger.
+func TestABudgetOfLiveSpansEqualsTheRing(t *testing.T) {
+	f := newFake(t, keyed, 4, 1, highWeight, Kind{Batch: 1})
 	b, r, now, most := budget{}, ring{}, 1_790_000_000*second, 0
 	for range 50_000 {
 		now += int64(f.chance() * f.chance() * f.chance() * float64(4*second))
@@ -248,17 +249,17 @@
 	assert.LessOrEqual(t, most, len(r.spans))
 }
 
-// What was never called stays without the state of what was; one message gives it to its destination and receiver alone.
+// Receivers and destinations never called have no allocated state; one message allocates that of its destination and receiver alone.
 func TestStateIsMadeAtFirstUse(t *testing.T) {
-	f := begin(t, keyed, 4, 1, aLot, Kind{Batch: 1})
-	f.Listed(Changes, []Entry{{Receiver: 2, Dst: 8, Weight: aLot, Listed: true}})
-	f.after(second)
+	f := newFake(t, keyed, 4, 1, highWeight, Kind{Batch: 1})
+	f.UpdateList(Delta, []Entry{{Receiver: 2, Dst: 8, Weight: highWeight, Listed: true}})
+	f.advance(second)
 	for _, r := range f.recvs {
-		assert.True(t, r.conduct == idleConduct && r.dst.traffic == idleTraffic && !r.route.isUsed(), "listed, no more")
+		assert.True(t, r.receiverState == unusedReceiver && r.dst.dstState == unusedDst && !r.route.isUsed(), "only listed")
 	}
-	f.take("a")
-	f.after(0)
-	assert.False(t, f.recvs[1].conduct == idleConduct || f.dsts[7].traffic == idleTraffic || !f.recvs[1].route.isUsed())
-	assert.True(t, f.recvs[2].conduct == idleConduct && f.dsts[8].traffic == idleTraffic && !f.recvs[2].route.isUsed())
-	assert.InDelta(t, paceLeast, f.recvs[2].route.use().tokens, 0, "its first tokens are those of a limit known")
+	f.accept("a")
+	f.advance(0)
+	assert.False(t, f.recvs[1].receiverState == unusedReceiver || f.dsts[7].dstState == unusedDst || !f.recvs[1].route.isUsed())
+	assert.True(t, f.recvs[2].receiverState == unusedReceiver && f.dsts[8].dstState == unusedDst && !f.recvs[2].route.isUsed())
+	assert.InDelta(t, minBurst, f.recvs[2].route.use().tokens, 0, "its first tokens are those of a known limit")
 }
--- a/choice/message.go
+++ b/choice/message.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-// A message's life from its hand-in to its end: every change of its state.
+// The life of a message from its hand-in to its end: every change of its state.
 
 const (
-	adviceShort = second      // µs; advice given with a pushback where no wait was told
-	shortLeft   = 0.5         // of the deadline; who comes with less has little time, few come again so late
-	keepLeast   = 0.7         // of its time; what surely never ran is not given up sooner (rules)
-	takenSpan   = 60 * second // µs; what was taken longer ago counts half, for traffic shifts
-	leaveStep   = 1.0 / 8     // weight of the newest message found given up in the age at which clients leave
-	leavesFor   = 5 * second  // µs after the latest such message for which clients count as leaving early
+	defaultRetryAfter = second      // µs; Retry-After of a rejection where the destination gave none
+	shortLeft         = 0.5         // of the deadline; a client with less time left is taken for an impatient one, as few retry that late
+	minKeepShare      = 0.7         // of the time to the deadline; a message that surely never ran is not given up sooner (rules)
+	acceptedSpan      = 60 * second // µs; older messages count half in the rate, because traffic shifts
+	leaveStep         = 1.0 / 8     // weight of the newest message in the average age at which clients give up
+	clientsLeaveFor   = 5 * second  // µs after the latest such message for which clients count as giving up early
 )
 
 type state uint8
 
-// A message is held, out (a leg has no outcome yet), streaming, or over in one of four ways.
+// A message is queued, out (a leg has no outcome yet), streaming, or over in one of four ways.
 const (
-	held state = iota
+	queued state = iota
 	out
 	streaming
 	delivered
-	pushedBack
+	rejected
 	failed
 	withdrawn
 )
 
 type call struct {
-	r      *receiver
-	sentAt int64
-	open   int  // legs in it without an outcome
-	off    bool // called off
-	onIdle bool // it went on a connection that had stood idle
-	msgs   []*msg
+	r         *receiver
+	sentAt    int64
+	open      int  // legs of the call without an outcome
+	cancelled bool // a cancellation was requested
+	onIdle    bool // it uses a connection that had been idle
+	msgs      []*msg
 }
 
 type leg struct {
@@ -46,20 +46,20 @@
 }
 
 type msg struct {
-	id        string
-	lane      *Lane
-	dst       *dst
-	line      *keyLine
-	state     state
-	expires   int64
-	sentAt    int64 // by its client, as far as can be told
-	notBefore int64 // told wait and jitter, or the rest of its key
-	giveUp    int64 // when it gets its final answer if nothing else happens
-	keepTill  int64 // until when it is kept, unless it may have run or a wait told is longer
-	at        int   // place in the expiry heap, -1 for none
-	legs      []leg // at most Room.Legs
-	recalled  bool  // no further leg
-	told      bool  // whoever handed it in knows its end
+	id          string
+	class       *Class
+	dst         *dst
+	orderQueue  *keyQueue
+	state       state
+	expires     int64
+	sentAt      int64 // by its client, as far as it can be estimated
+	notBefore   int64 // end of Retry-After and jitter, or of its key's quiet time
+	giveUp      int64 // when it gets its final answer unless something else ends it first
+	keepUntil   int64 // not given up before, unless it may have run or the Retry-After is longer
+	at          int   // index in the expiry heap, -1 for none
+	legs        []leg // at most Limits.MaxLegs
+	recalled    bool  // gets no further leg
+	endReported bool  // its end was reported to its client
 }
 
 func (m *msg) over() bool { return m.state >= delivered }
@@ -73,91 +73,91 @@
 	return n
 }
 
-// Take accepts a message: this sender's until it has a final answer. past are its legs from before a restart;
-// the last counts as out, its outcome must come in the same turn. Danger: names of nowhere fill the room.
-func (s *Sender) Take(id string, lane int, key string, to, expires int64, past ...PastLeg) {
-	if s.dsts[to] == nil && len(past) == 0 { // a mistake, or the list is late: harmless to come again
+// Accept takes a message over until it has a final answer. past are its legs from before a restart; the last one counts as out, and its outcome
+// must follow in the same turn. Messages for unknown destinations are rejected, or they would fill the queue.
+func (s *Sender) Accept(id string, class int, key string, to, expires int64, past ...PastLeg) {
+	if s.dsts[to] == nil && len(past) == 0 { // a mistake or a late list: another hand-in is harmless
 		s.ended[UnknownDst]++
-		s.host.PushBack(id, s.ComeBackIn(0))
+		s.host.Reject(id, s.RetryAfter(0))
 		return
 	}
-	m := &msg{id: id, lane: &s.lanes[lane], dst: s.dst(to), state: held, expires: expires, at: -1}
-	m.sentAt = expires - m.lane.Deadline
-	if float64(expires-s.now) < shortLeft*float64(m.lane.Deadline) { // its client has little time, rather
+	m := &msg{id: id, class: &s.classes[class], dst: s.dst(to), state: queued, expires: expires, at: -1}
+	m.sentAt = expires - m.class.Deadline
+	if float64(expires-s.now) < shortLeft*float64(m.class.Deadline) { // rather an impatient client than an old message
 		m.sentAt = s.now
 	}
-	m.keepTill = s.now + int64(keepLeast*float64(expires-s.now))
+	m.keepUntil = s.now + int64(minKeepShare*float64(expires-s.now))
 	s.msgs[id] = m
-	if s.taken++; s.now-s.takenFrom > takenSpan {
-		s.taken, s.takenFrom = s.taken/2, (s.now+s.takenFrom)/2
+	if s.accepted++; s.now-s.acceptedFrom > acceptedSpan {
+		s.accepted, s.acceptedFrom = s.accepted/2, (s.now+s.acceptedFrom)/2
 	}
-	if m.lane.InOrder && key != "" {
-		m.line = s.lineOf(key)
-		m.line.msgs = append(m.line.msgs, m)
-		m.notBefore = m.line.rest
+	if m.class.Ordered && key != "" {
+		m.orderQueue = s.keyQueueOf(key)
+		m.orderQueue.msgs = append(m.orderQueue.msgs, m)
+		m.notBefore = m.orderQueue.quietUntil
 	}
-	m.dst.hold(m)
-	s.turn(m, held)
-	s.resume(m, past)
+	m.dst.enqueue(m)
+	s.setState(m, queued)
+	s.restoreLegs(m, past)
 }
 
-// turn is the one place where a message changes its state.
-func (s *Sender) turn(m *msg, to state) {
+// setState is the only place that changes a message's state.
+func (s *Sender) setState(m *msg, to state) {
 	if m.over() {
 		return
 	}
-	if m.state == held && to != held {
-		m.dst.held = without(m.dst.held, m)
-	} else if m.state != held && to == held {
-		m.dst.hold(m)
+	if m.state == queued && to != queued {
+		m.dst.queued = without(m.dst.queued, m)
+	} else if m.state != queued && to == queued {
+		m.dst.enqueue(m)
 	}
 	m.state = to
 	s.wake(m.dst)
 	switch to {
-	case held:
+	case queued:
 		m.giveUp = m.lastChance()
 	case out:
 		m.giveUp = m.expires - answerMargin
-	case pushedBack, failed, delivered, withdrawn, streaming:
+	case rejected, failed, delivered, withdrawn, streaming:
 		m.giveUp = never
 	}
 	s.expiry.place(m)
-	s.forget(m)
+	s.removeIfDone(m)
 }
 
-// end gives the final answer: pushed back only if the last outcome proves it never ran, where allowed.
-func (s *Sender) end(m *msg, advice int64, why EndReason) {
+// endUndelivered gives the final answer: a rejection if the last outcome proves that the message never ran, where allowed.
+func (s *Sender) endUndelivered(m *msg, retryAfter int64, why EndReason) {
 	if m.over() {
 		return
 	}
-	s.finish(m, len(m.legs) == 0 || !m.legs[len(m.legs)-1].mayHaveRun(), advice, why)
+	s.rejectOrFail(m, len(m.legs) == 0 || !m.legs[len(m.legs)-1].mayHaveRun(), retryAfter, why)
 }
 
-func (s *Sender) finish(m *msg, back bool, advice int64, why EndReason) {
+func (s *Sender) rejectOrFail(m *msg, neverRan bool, retryAfter int64, why EndReason) {
 	s.ended[why]++
-	if back && m.mayPushBack() {
-		s.turn(m, pushedBack)
-		s.host.PushBack(m.id, s.ComeBackIn(advice))
+	if neverRan && m.mayReject() {
+		s.setState(m, rejected)
+		s.host.Reject(m.id, s.RetryAfter(retryAfter))
 		return
 	}
-	s.turn(m, failed)
+	s.setState(m, failed)
 	s.host.Fail(m.id)
 }
 
-// ComeBackIn is what a client pushed back is told: the wait told, else a short one, as far as allowed.
-func (s *Sender) ComeBackIn(wait int64) int64 {
-	return min(cmp.Or(wait, adviceShort), s.allowed.MaxAdvice)
+// RetryAfter is what a rejected client is told: the destination's Retry-After or else a short one, up to the maximum.
+func (s *Sender) RetryAfter(wait int64) int64 {
+	return min(cmp.Or(wait, defaultRetryAfter), s.caps.MaxRetryAfter)
 }
 
-// Withdrawn says that nobody wants the message any more.
-func (s *Sender) Withdrawn(id string) {
+// Withdraw ends a message that nobody waits for any more.
+func (s *Sender) Withdraw(id string) {
 	if m := s.msgs[id]; m != nil {
-		s.left(m)
-		s.turn(m, withdrawn)
+		s.learnClientPatience(m)
+		s.setState(m, withdrawn)
 	}
 }
 
-// Recall takes a message from this sender: its tenant was purged, or its channel moved.
+// Recall ends a message whose tenant was purged or whose channel moved, once no leg of it is out.
 func (s *Sender) Recall(id string) {
 	m := s.msgs[id]
 	if m == nil || m.over() {
@@ -165,19 +165,19 @@
 	}
 	m.recalled = true
 	if m.openLegs() == 0 {
-		s.finish(m, true, 0, RecalledAway)
+		s.rejectOrFail(m, true, 0, Recalled)
 	}
 }
 
-// Began says that the answer of a streamed leg has started; it now belongs to the client.
-func (s *Sender) Began(id string) {
+// StreamStarted takes the event that a leg's response started to stream; the client has it from then on.
+func (s *Sender) StreamStarted(id string) {
 	if m := s.msgs[id]; m != nil {
-		s.turn(m, streaming)
+		s.setState(m, streaming)
 	}
 }
 
-// Settled takes the outcome of a leg. wait is what a refusal told, 0 for nothing.
-func (s *Sender) Settled(id string, number int, o Outcome, wait int64, final bool, rep Report) {
+// LegEnded takes the outcome of a leg. wait is the Retry-After of a refusal, 0 for none.
+func (s *Sender) LegEnded(id string, number int, o Outcome, wait int64, final bool, rep RateLimit) {
 	m := s.msgs[id]
 	if m == nil || number < 0 || number >= len(m.legs) || m.legs[number].settled {
 		return
@@ -185,148 +185,148 @@
 	l := &m.legs[number]
 	l.settled, l.outcome = true, o
 	c := l.call
-	if o == Full && wait > 0 { // binds from this very turn, though others of the call may tell less
+	if o == Refused && wait > 0 { // in force from this turn on, even if other legs of the call have a shorter one
 		c.r.route.waitUntil = max(c.r.route.waitUntil, s.now+wait)
-		s.saw(c.r, Sight{Kind: SeenWait, Wait: wait})
+		s.shareObservation(c.r, Observation{Kind: ObservedRetryAfter, RetryAfter: wait})
 	}
 	c.open--
-	c.r.usedAt = s.now
+	c.r.lastOutcomeAt = s.now
 	s.countStale(c, o)
-	row := c.r.route.bad
-	if s.now < c.r.scarceTill {
-		s.spare = append(s.spare, c.r)
+	row := c.r.route.failures
+	if s.now < c.r.connScarceUntil {
+		s.connScarce = append(s.connScarce, c.r)
 	}
 	if c.open == 0 {
 		s.calls, c.r.calls = s.calls-1, c.r.calls-1
 		c.r.dst.calls = slices.DeleteFunc(c.r.dst.calls, func(x *call) bool { return x == c })
-		s.keepBusy(c.r.dst)
-		s.observe(c, o, wait)
+		s.updateBusy(c.r.dst)
+		s.callEnded(c, o, wait)
 	}
-	s.reported(c.r, rep)
+	s.recordRateLimit(c.r, rep)
 	s.wake(c.r.dst)
 	s.countLost(c.r, o, row)
 	if o == Delivered || o == Errored || o == TimedOut || o == Reset {
-		c.r.went(m.lane, o == Delivered)
+		c.r.recordClass(m.class, o == Delivered)
 	}
-	if m.line != nil && (o == TimedOut || o == Reset || o == Cancelled) {
-		m.line.rest = s.now + s.guards.KeyRest
+	if m.orderQueue != nil && (o == TimedOut || o == Reset || o == Cancelled) {
+		m.orderQueue.quietUntil = s.now + s.rules.KeyQuietTime
 	}
 	switch {
 	case m.over():
-		s.forget(m)
-	case final && o == Skipped:
-		s.Withdrawn(id)
+		s.removeIfDone(m)
+	case final && o == NotSent:
+		s.Withdraw(id)
 	case final:
-		s.turn(m, delivered)
+		s.setState(m, delivered)
 	case m.state == streaming:
-		s.end(m, 0, StreamBroken)
+		s.endUndelivered(m, 0, StreamBroken)
 	case m.openLegs() == 0:
-		s.repeat(m, o, wait)
+		s.retry(m, o, wait)
 	}
 }
 
-// EndKnown says that whoever handed a message in knows its end.
-func (s *Sender) EndKnown(id string) {
+// EndReported takes the event that a message's end was reported to its client.
+func (s *Sender) EndReported(id string) {
 	if m := s.msgs[id]; m != nil && m.over() {
-		m.told = true
-		s.forget(m)
+		m.endReported = true
+		s.removeIfDone(m)
 	}
 }
 
-// Unheard brings in a message of a lane in order that ended before a restart, while its end is not told yet.
-func (s *Sender) Unheard(id string, lane int, key string, to int64) {
-	if s.lanes[lane].InOrder && key != "" {
-		m := &msg{id: id, lane: &s.lanes[lane], dst: s.dst(to), state: failed, at: -1, line: s.lineOf(key)}
-		m.line.msgs = append(m.line.msgs, m)
+// RestoreUnreported adds an ordered message that ended before a restart and whose end is not reported yet.
+func (s *Sender) RestoreUnreported(id string, class int, key string, to int64) {
+	if s.classes[class].Ordered && key != "" {
+		m := &msg{id: id, class: &s.classes[class], dst: s.dst(to), state: failed, at: -1, orderQueue: s.keyQueueOf(key)}
+		m.orderQueue.msgs = append(m.orderQueue.msgs, m)
 		s.msgs[id] = m
 	}
 }
 
-// TellsLater says that an end is not known to others as it is decided, but from EndKnown on; until then its line waits. Danger: the next
-// of a key overtakes the news that the one before it is over, and runs before it as far as anybody can tell.
-func (s *Sender) TellsLater() { s.tellsLater = true }
+// ReportEndsLater has ends count as reported only from EndReported on; until then the key's queue waits. Otherwise the next message of the key
+// would overtake the report that its predecessor is over, and appear to run before it.
+func (s *Sender) ReportEndsLater() { s.endsReportedLater = true }
 
-// forget drops a message that is over once nothing of it is out and its end is known, and lets the next of its key go.
-func (s *Sender) forget(m *msg) {
-	ended := m.state == pushedBack || m.state == failed
-	if !m.over() || m.openLegs() > 0 || ended && m.line != nil && s.tellsLater && !m.told {
+// removeIfDone drops a message that is over, has no leg out and is reported, and releases the next one of its key.
+func (s *Sender) removeIfDone(m *msg) {
+	ended := m.state == rejected || m.state == failed
+	if !m.over() || m.openLegs() > 0 || ended && m.orderQueue != nil && s.endsReportedLater && !m.endReported {
 		return
 	}
 	delete(s.msgs, m.id)
-	l := m.line
+	l := m.orderQueue
 	if l == nil {
 		return
 	}
 	l.msgs = without(l.msgs, m)
 	if len(l.msgs) == 0 {
-		s.resting = append(s.resting, l)
+		s.quietQueues = append(s.quietQueues, l)
 		return
 	}
-	l.msgs[0].notBefore = max(l.msgs[0].notBefore, l.rest)
+	l.msgs[0].notBefore = max(l.msgs[0].notBefore, l.quietUntil)
 	s.wake(l.msgs[0].dst)
 }
 
-// PastLeg is a leg that a message had before its sender restarted.
+// PastLeg is a leg from before a restart of the sender.
 type PastLeg struct {
 	SentAt   int64
 	Zone     int
 	NeverRan bool
 }
 
-// resume gives a message just taken the legs from before a restart. The last one counts as out, so that its
-// outcome takes the usual way.
-func (s *Sender) resume(m *msg, legs []PastLeg) {
+// restoreLegs gives an accepted message its legs from before a restart. The last one counts as out, so that its outcome is handled like any
+// other.
+func (s *Sender) restoreLegs(m *msg, legs []PastLeg) {
 	if len(legs) == 0 {
 		return
 	}
-	for _, l := range legs { // receivers may be gone: each leg stands at one of its own
-		r := (&receiver{dst: m.dst, route: newRoute(), zone: l.Zone, conduct: idleConduct, past: true}).used()
+	for _, l := range legs { // the receivers may be gone, so each leg gets a placeholder
+		r := (&receiver{dst: m.dst, route: newRoute(), zone: l.Zone, receiverState: unusedReceiver, placeholder: true}).used()
 		r.calls = 1
 		past := leg{call: &call{r: r, sentAt: l.SentAt, open: 1, msgs: []*msg{m}}, settled: true, outcome: Reset}
 		if l.NeverRan {
-			past.outcome = Skipped
+			past.outcome = NotSent
 		}
 		m.legs = append(m.legs, past)
 	}
 	m.legs[len(legs)-1].settled = false
 	if legs[len(legs)-1].NeverRan {
-		m.dst.route.refusedBefore(s.now)
+		m.dst.route.restoreRefusal(s.now)
 	}
 	s.calls++
-	s.turn(m, out)
+	s.setState(m, out)
 }
 
-// Owes has a destination known, listed or not: a message for it was taken on before a restart, so it is no name of nowhere.
-func (s *Sender) Owes(to int64) { s.dst(to) }
+// RestoreDst makes a destination known, listed or not, because a message for it was accepted before a restart.
+func (s *Sender) RestoreDst(to int64) { s.dst(to) }
 
-// left learns how soon clients leave. Danger: where they do, and only a call tells, serving the oldest first
-// spends the pace on messages that nobody waits for; while it lasts, the young go first.
-func (s *Sender) left(m *msg) {
-	if s.now >= s.leftTill {
-		s.leaveAge = float64(s.age(m))
+// learnClientPatience learns how soon clients give up. Where they do and only a call detects it, serving the oldest first would spend the rate
+// on messages that nobody waits for; during that time young messages go first.
+func (s *Sender) learnClientPatience(m *msg) {
+	if s.now >= s.clientsLeaveUntil {
+		s.clientPatience = float64(s.age(m))
 	}
-	s.leaveAge, s.leftTill = s.leaveAge+(float64(s.age(m))-s.leaveAge)*leaveStep, s.now+leavesFor
+	s.clientPatience, s.clientsLeaveUntil = s.clientPatience+(float64(s.age(m))-s.clientPatience)*leaveStep, s.now+clientsLeaveFor
 }
 
-// value left for an answer at a time, by the lane's way of falling.
-func (m *msg) value(at int64, halves bool) float64 {
-	late := float64(at - m.sentAt - m.lane.Target)
+// value is the remaining value of an answer at a time, by the class's decay.
+func (m *msg) value(at int64, exponential bool) float64 {
+	late := float64(at - m.sentAt - m.class.Target)
 	switch {
 	case at > m.expires:
 		return 0
 	case late <= 0:
-		return m.lane.Value
-	case halves:
-		return m.lane.Value * max(m.lane.LateValue, math.Exp2(-late/float64(m.lane.Target)))
+		return m.class.Value
+	case exponential:
+		return m.class.Value * max(m.class.LateValue, math.Exp2(-late/float64(m.class.Target)))
 	default:
-		return m.lane.Value * (1 - (1-m.lane.LateValue)*late/float64(m.lane.Deadline-m.lane.Target))
+		return m.class.Value * (1 - (1-m.class.LateValue)*late/float64(m.class.Deadline-m.class.Target))
 	}
 }
 
 // age is the time since a message's client sent it.
 func (s *Sender) age(m *msg) int64 { return s.now - m.sentAt }
 
-// without drops the first place of a message in a list.
+// without removes the first occurrence of a message from a list.
 func without(ms []*msg, m *msg) []*msg {
 	if i := slices.Index(ms, m); i >= 0 {
 		return slices.Delete(ms, i, i+1)
--- a/choice/order.go
+++ b/choice/order.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// The messages of a key, one after the other.
+// Ordered delivery of the messages of a key.
 
-// keyLine holds the messages of one key in the order taken. It goes when empty and rested.
-type keyLine struct {
-	key  string
-	msgs []*msg
-	rest int64
+// keyQueue holds the messages of one key in order of acceptance. It is removed when empty and past its quiet time.
+type keyQueue struct {
+	key        string
+	msgs       []*msg
+	quietUntil int64
 }
 
-// lineOf is the line of a key.
-func (s *Sender) lineOf(key string) *keyLine {
-	l := s.lines[key]
+// keyQueueOf is the queue of a key.
+func (s *Sender) keyQueueOf(key string) *keyQueue {
+	l := s.keyQueues[key]
 	if l == nil {
-		l = &keyLine{key: key, rest: s.restTill}
-		s.lines[key] = l
+		l = &keyQueue{key: key, quietUntil: s.restartQuietUntil}
+		s.keyQueues[key] = l
 	}
 	return l
 }
 
-// Restarted says that a process before this one served here: its attempts may still run, so every key rests.
-func (s *Sender) Restarted() { s.restTill = s.now + s.guards.KeyRest }
+// Restarted says that an earlier process served here: its legs may still run, so every key waits for its quiet time.
+func (s *Sender) Restarted() { s.restartQuietUntil = s.now + s.rules.KeyQuietTime }
 
-func (s *Sender) restOver() {
-	s.resting = slices.DeleteFunc(s.resting, func(l *keyLine) bool {
-		if len(l.msgs) == 0 && l.rest <= s.now && s.lines[l.key] == l {
-			delete(s.lines, l.key)
+func (s *Sender) dropQuietQueues() {
+	s.quietQueues = slices.DeleteFunc(s.quietQueues, func(l *keyQueue) bool {
+		if len(l.msgs) == 0 && l.quietUntil <= s.now && s.keyQueues[l.key] == l {
+			delete(s.keyQueues, l.key)
 		}
-		return len(l.msgs) > 0 || l.rest <= s.now
+		return len(l.msgs) > 0 || l.quietUntil <= s.now
 	})
 }
--- a/choice/pace.go
+++ b/choice/pace.go
@@ -6,214 +6,212 @@
 	"strconv"
 )
 
-// How fast a route with a known limit is called, and how refusals slow it down.
+// Rate control: how fast a route with a known limit is called, and how refusals slow it down.
 
 const (
-	badRow         = 2          // calls wrong or refused in a row, anywhere at a route: an outage?
-	pauseFirst     = second / 4 // µs; mean pause of a route after a refusal, doubled by each further one
-	pauseTurn      = 0.3        // of the interval of a cold share; mean of the first pause, pauseFirst at least
-	pauseMost      = 2 * second // µs; longest such mean, unless the interval of a cold share is longer
-	rateSpan       = 5 * second // µs before what was counted makes a rate
-	paceShares     = 1.3        // even shares of a known limit: others may leave some of theirs
-	paceLeast      = 3.0        // calls that may go at once at least, however small the even share
-	pressStart     = 0.5        // calls of each sender in a target time, where its even share is less
-	pressCut       = 0.8        // of the shares; left to each sender by a refusal anywhere in the team
-	pressLeast     = 0.1        // shares; never less, or a limit that rose again is not found
-	pressGap       = second     // µs between two cuts; the last one must have shown first
-	leastShareLeft = 0.2        // of a limit; told less, a route waits for the next token
-	paceBurst      = 0.3        // seconds of the rate that may go at once
-	okSpan         = 2 * second // µs; successes are counted over such spans at least,
-	okLeast        = 5          // and until there are so many: fewer make no rate
-	meanStep       = 1.0 / 32   // weight of the newest answer time in the mean over all destinations
-	rateLeast      = 0.01       // messages a second; the least that a note tells, and less is a mistake
-	partLeast      = 0.5        // means of the team; a sender just started has seen little
-	partMost       = 4.0        // means of the team; no single sender gets more
+	minFailureRow      = 2          // consecutive failures or refusals anywhere at a route that may mean an outage
+	pauseFirst         = second / 4 // µs; mean pause of a route after a refusal, doubled by each further one
+	pauseShare         = 0.3        // of the interval of a cold share; mean of the first pause, at least pauseFirst
+	pauseMost          = 2 * second // µs; longest such mean, unless the interval of a cold share is longer
+	rateSpan           = 5 * second // µs of counting before a rate is computed
+	maxEvenShares      = 1.3        // even shares of a known limit, as other senders may leave some of theirs
+	minBurst           = 3.0        // calls that may go at once at least, however small the even share
+	throttleStart      = 0.5        // calls of each sender in a target time, where its even share is less
+	throttleCut        = 0.8        // of the shares; left to each sender by a refusal at any sender
+	minThrottledShares = 0.1        // shares; with less, a limit that rose again would not be found
+	throttleGap        = second     // µs between two cuts, so that the previous one can take effect
+	minRemainingShare  = 0.2        // of a limit; with less remaining, a route waits for the next token
+	burstSeconds       = 0.3        // seconds of the rate that may go at once
+	successSpan        = 2 * second // µs; successes are counted over spans at least this long,
+	minSpanSuccesses   = 5          // and of at least so many: fewer make no rate
+	meanStep           = 1.0 / 32   // weight of the newest response time in the mean over all destinations
+	minNotedRate       = 0.01       // messages a second; least rate in a note, a smaller one is an error
+	minTrafficShare    = 0.5        // of the mean sender; a sender that just started has seen little traffic
+	maxTrafficShare    = 4.0        // of the mean sender; no single sender gets more
 )
 
-func (p *route) know(share float64) {
+func (p *route) setShare(share float64) {
 	if p.share == 0 && p.isUsed() {
-		p.tokens = paceLeast
+		p.tokens = minBurst
 	}
 	p.share = share
 }
 
-// firstTokens is what a route has at its first use.
+// firstTokens is the initial token count of a route.
 func (p *route) firstTokens() float64 {
 	if p.share > 0 {
-		return paceLeast
+		return minBurst
 	}
 	return 0
 }
 
-// shares is how many even shares of its limit a route may be sent by each sender now.
+// shares is how many even shares of the limit each sender may send to a route now.
 func (p *route) shares(now int64) float64 {
-	if p.pressedAt == 0 {
-		return paceShares
+	if p.throttledAt == 0 {
+		return maxEvenShares
 	}
-	most := paceShares * p.full
-	if p.ill { // danger: the backlog of all senders meets a return while few of them have closed it
+	most := maxEvenShares * p.fullShares
+	if p.failedSinceSuccess { // else the backlog of all senders would meet the return, as few of them have closed the receiver
 		most = 1
 	}
-	return min(most, p.press+p.rise*float64(now-p.pressedAt))
+	return min(most, p.throttledShares+p.shareSlope*float64(now-p.throttledAt))
 }
 
-// isPressed tells whether it bears less than it would had nobody been refused.
-func (p *route) isPressed(now int64) bool {
-	return p.pressedAt > 0 && p.shares(now) < paceShares*p.full
+// isThrottled tells whether a route gets less than without any refusal.
+func (p *route) isThrottled(now int64) bool {
+	return p.throttledAt > 0 && p.shares(now) < maxEvenShares*p.fullShares
 }
 
-// pressed takes in that a route refused one of the team, and tells whether that is news. Danger: what each
-// of a large team may send at once is harmless alone, in sum many seconds of the limit; where refused calls
-// use it up too, nobody gets through until each was refused by itself. Where an even share is a call in many
-// target times, few hold a message at once: each starts with more, and refusals bring that down. A limit not
-// known has no shares to cut.
-func (p *route) pressed(now, target int64, chance float64) bool {
-	if p.share == 0 || p.pressedAt != 0 && now-p.pressedAt < pressGap {
+// throttle handles a refusal at any sender and tells whether it changed the rate. The initial burst of each of many senders is harmless alone,
+// but in sum is many seconds of the limit; where refused calls use it up too, nobody gets through until each was refused itself. Where an even
+// share is one call in many target times, few senders have a message at once: each starts with more, and refusals reduce that. An unknown limit
+// has no shares to cut.
+func (p *route) throttle(now, target int64, chance float64) bool {
+	if p.share == 0 || p.throttledAt != 0 && now-p.throttledAt < throttleGap {
 		return false
 	}
 	p.refill(now)
 	shares := p.shares(now)
-	if !p.isPressed(now) {
-		p.tokens = min(p.tokens, chance) // else all senders' first calls coincide
-		p.full = max(1, pressStart*float64(second)/(p.share*float64(target)))
-		shares = paceShares * p.full
+	if !p.isThrottled(now) {
+		p.tokens = min(p.tokens, chance) // or the first calls of all senders would coincide
+		p.fullShares = max(1, throttleStart*float64(second)/(p.share*float64(target)))
+		shares = maxEvenShares * p.fullShares
 	}
-	p.press, p.pressedAt = max(pressLeast, min(p.full, shares*pressCut)), now
-	p.rise = (1 - pressCut) * p.full / float64(target) // given back sooner than what waits for it is late
+	p.throttledShares, p.throttledAt = max(minThrottledShares, min(p.fullShares, shares*throttleCut)), now
+	p.shareSlope = (1 - throttleCut) * p.fullShares / float64(target) // regained before what waits for it is late
 	return true
 }
 
-// rate is how many calls a second this sender may send now. Leases sum to the limit, so one is all of it.
+// rate is how many calls a second this sender may send now. Leases sum to the limit, so no sender exceeds its own.
 func (p *route) rate(now int64) float64 {
 	shares := min(p.shares(now), p.returned.shares(now))
-	if p.lease.told {
+	if p.lease.granted {
 		return p.lease.perSec * min(1, shares)
 	}
-	return p.share * shares * cmp.Or(p.part, 1)
+	return p.share * shares * cmp.Or(p.trafficShare, 1)
 }
 
 func (p *route) refill(now int64) {
-	least, rate := paceLeast, p.use().rate(now)
-	if p.isPressed(now) || p.lease.told {
+	least, rate := minBurst, p.use().rate(now)
+	if p.isThrottled(now) || p.lease.granted {
 		least = 1
 	}
-	p.tokens = min(p.tokens+rate*float64(now-p.filledAt)/float64(second), max(least, rate*paceBurst))
+	p.tokens = min(p.tokens+rate*float64(now-p.filledAt)/float64(second), max(least, rate*burstSeconds))
 	p.filledAt = now
 }
 
-// part is what this sender takes on, in means of the team, where fellows have told. Danger: where some get
-// several times the mean, an even share refuses most of theirs beside room that the others leave.
-func (s *Sender) part() float64 {
-	if s.meanGap == 0 || s.rate() == 0 {
+// trafficShare is this sender's traffic relative to the mean of all senders, where peers have sent theirs. Where some get several times the
+// mean, even shares would refuse most of their calls while others leave capacity unused.
+func (s *Sender) trafficShare() float64 {
+	if s.meanMessageGap == 0 || s.rate() == 0 {
 		return 1
 	}
-	return min(partMost, max(partLeast, s.rate()*s.meanGap))
+	return min(maxTrafficShare, max(minTrafficShare, s.rate()*s.meanMessageGap))
 }
 
-// readyAt is when pace and told wait let a call go.
+// readyAt is when rate, Retry-After and pause allow a call.
 func (p *route) readyAt(now int64) int64 {
 	p.refill(now)
 	at := now
 	if p.lease.none() {
 		return never
 	}
-	if (p.share > 0 || p.lease.told) && p.tokens < 1 {
+	if (p.share > 0 || p.lease.granted) && p.tokens < 1 {
 		at = now + int64((1-p.tokens)/p.rate(now)*float64(second)) + 1
 	}
-	return max(at, p.waitUntil, p.pause)
+	return max(at, p.waitUntil, p.pausedUntil)
 }
 
-// refused guards against calling on at a limit: refused calls may use it up too, so callers can hold a
-// destination shut for everyone. A row of refusals makes the pauses longer; a success ends it. A pause is drawn by full
-// jitter, from the end of the wait told. Danger: one that runs beside the wait is over with it, and what each sender held
-// behind one wait goes at one moment.
-func (p *route) refused(now, sentAt int64, chance, turn float64) {
-	if p.row == 0 {
-		p.rowFrom = now
+// refused pauses a route after refusals: refused calls may use up the limit too, so callers can block a destination for everyone. Consecutive
+// refusals lengthen the pauses; a success ends them. A pause is drawn with full jitter from the end of the Retry-After; if it ran beside that,
+// all senders would call when it ends.
+func (p *route) refused(now, sentAt int64, chance, interval float64) {
+	if p.refusals == 0 {
+		p.refusalsFrom = now
 	}
-	if p.rounds == 0 || sentAt > p.refusedAt {
-		p.rounds++
+	if p.refusalRounds == 0 || sentAt > p.refusedAt {
+		p.refusalRounds++
 	}
-	p.row++
+	p.refusals++
 	p.refusedAt = now
-	if now < p.pause { // refusals of one burst are one signal
+	if now < p.pausedUntil { // refusals of one burst are one signal
 		return
 	}
-	if p.share > 0 && p.row+p.bad < badRow { // pace keeps to the limit; but a full queue may mean an outage too
-		turn /= 2
+	if p.share > 0 && p.refusals+p.failures < minFailureRow { // the rate keeps to the limit; but a full queue may mean an outage too
+		interval /= 2
 	}
-	first := max(pauseFirst, int64(pauseTurn*turn))
-	mean := min(max(pauseMost, int64(turn)), first<<min(p.row-1, 10))
-	p.pause = max(now, p.waitUntil) + int64(2*chance*float64(mean))
+	first := max(pauseFirst, int64(pauseShare*interval))
+	mean := min(max(pauseMost, int64(interval)), first<<min(p.refusals-1, 10))
+	p.pausedUntil = max(now, p.waitUntil) + int64(2*chance*float64(mean))
 }
 
-// succeeded ends such rows, and keeps the best rate over a span, less the noise of which sender got a call:
-// the best of many thin spans lies far above the mean. A sender alone gets all, so none is noise.
+// succeeded ends the rows of failures and refusals and updates the peak rate over a span, less the noise of which sender got a call: the best of
+// many sparse spans lies far above the mean. A single sender gets all calls, so there is no noise.
 func (p *route) succeeded(now int64, open bool, senders int) {
 	p.use()
-	p.failing -= p.failing * failStep
-	p.row, p.rounds, p.untold, p.bad, p.oks, p.okAt = 0, 0, false, 0, p.oks+1, now
-	if !open || p.okFrom == 0 { // a slow start's own restraint is no measure
-		p.okFrom, p.okNow = now, 0
-	} else if now-p.okFrom > okSpan && p.okNow >= okLeast {
-		sure := p.okNow - math.Sqrt(p.okNow*(1-1/float64(max(1, senders))))
-		p.okPeak = max(p.okPeak, sure*float64(second)/float64(now-p.okFrom))
-		p.okFrom, p.okNow = now, 0
-	}
-	p.okNow++
-}
-
-func (s *Sender) reported(r *receiver, rep Report) {
-	if rep.Told && rep.LimitPerSec > 0 {
-		if rep.LimitPerSec != r.route.told {
-			s.saw(r, Sight{Kind: SeenLimit, PerSec: rep.LimitPerSec})
+	p.failureRate -= p.failureRate * failStep
+	p.refusals, p.refusalRounds, p.noRetryAfter, p.failures, p.successes, p.lastSuccessAt = 0, 0, false, 0, p.successes+1, now
+	if !open || p.spanFrom == 0 { // slow start's own limit is no measurement
+		p.spanFrom, p.spanSuccesses = now, 0
+	} else if now-p.spanFrom > successSpan && p.spanSuccesses >= minSpanSuccesses {
+		sure := p.spanSuccesses - math.Sqrt(p.spanSuccesses*(1-1/float64(max(1, senders))))
+		p.peakRate = max(p.peakRate, sure*float64(second)/float64(now-p.spanFrom))
+		p.spanFrom, p.spanSuccesses = now, 0
+	}
+	p.spanSuccesses++
+}
+
+func (s *Sender) recordRateLimit(r *receiver, rep RateLimit) {
+	if rep.Known && rep.LimitPerSec > 0 {
+		if rep.LimitPerSec != r.route.announcedLimit {
+			s.shareObservation(r, Observation{Kind: ObservedLimit, PerSec: rep.LimitPerSec})
 		}
-		r.route.told = rep.LimitPerSec
-		r.route.know(rep.LimitPerSec / float64(s.team.Senders))
-		if rep.ShareLeft < leastShareLeft { // others have used the room that a full bucket would promise
+		r.route.announcedLimit = rep.LimitPerSec
+		r.route.setShare(rep.LimitPerSec / float64(s.topology.Senders))
+		if rep.RemainingShare < minRemainingShare { // others have used the capacity that a full bucket would promise
 			r.route.tokens = min(r.route.tokens, 0)
 		}
 	}
 }
 
-// rate is how many messages a second this sender takes on, 0 while it has not run long enough to tell.
+// rate is how many messages a second this sender accepts, 0 while it has not run long enough to tell.
 func (s *Sender) rate() float64 {
-	if s.now-s.takenFrom < rateSpan {
+	if s.now-s.acceptedFrom < rateSpan {
 		return 0
 	}
-	return float64(s.taken) * float64(second) / float64(s.now-s.takenFrom)
+	return float64(s.accepted) * float64(second) / float64(s.now-s.acceptedFrom)
 }
 
-// heardRate takes a fellow's rate. Busy ones are refused and heard more often in step with their rates, so
-// the mean of the gaps between messages, not of the rates, is the team's.
-func (s *Sender) heardRate(text string) {
-	if rate, err := strconv.ParseFloat(text, 64); err == nil && rate >= rateLeast {
-		s.meanGap = cmp.Or(s.meanGap, 1/rate)
-		s.meanGap += (1/rate - s.meanGap) * meanStep
+// learnPeerRate takes a peer's rate. Busy peers are refused, and heard of, more often in proportion to their rates, so the mean of the gaps
+// between messages, not of the rates, is that of all senders.
+func (s *Sender) learnPeerRate(text string) {
+	if rate, err := strconv.ParseFloat(text, 64); err == nil && rate >= minNotedRate {
+		s.meanMessageGap = cmp.Or(s.meanMessageGap, 1/rate)
+		s.meanMessageGap += (1/rate - s.meanMessageGap) * meanStep
 	}
 }
 
-// lease is what the fleet lets this sender send a destination.
+// lease is the rate that the fleet grants this sender at a destination.
 type lease struct {
-	told   bool
-	perSec float64 // calls a second; 0 lets nothing go
+	granted bool
+	perSec  float64 // calls a second; 0 blocks all calls
 }
 
-func (l lease) none() bool { return l.told && l.perSec <= 0 }
+func (l lease) none() bool { return l.granted && l.perSec <= 0 }
 
-// leaseOf is the lease of one of its routes: those apart get as much each.
+// leaseOf is the lease of one route of the destination: with per-receiver routes each gets an equal part.
 func (d *dst) leaseOf() lease {
 	l := d.lease
-	if d.kind.Apart {
+	if d.kind.PerReceiver {
 		l.perSec /= float64(max(1, len(d.recvs)))
 	}
 	return l
 }
 
-// Shared takes this sender's lease on a destination's limit, in calls a second; a negative one withdraws it.
-func (s *Sender) Shared(to int64, perSec float64) {
+// SetLease sets this sender's lease on a destination's limit, in calls a second; a negative one withdraws it.
+func (s *Sender) SetLease(to int64, perSec float64) {
 	if d := s.dsts[to]; d != nil {
-		d.use().lease = lease{told: perSec >= 0, perSec: perSec}
+		d.use().lease = lease{granted: perSec >= 0, perSec: perSec}
 		s.wake(d)
 	}
 }
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// The retry budget of a destination, and the repeat of a message whose call went wrong.
+// The retry budget of a destination, and the retry of a message whose leg failed.
 
 const (
-	percentCanRetry  = 0.1         // repeats a success earns (design)
-	minRetriesPerSec = 3           // repeats a second always allowed (design)
-	ttl              = 10 * second // life of a credit (design)
-	creditSpan       = second / 2  // credits expire together by this much; 5% of ttl is fine enough
-	toldWaitBonus    = 2           // refusals with a told wait spend at this multiple (design)
-	backoffBase      = second / 10 // µs; first jitter window (design)
-	backoffCap       = 8 * second  // µs; widest jitter window (design)
+	percentCanRetry    = 0.1         // retries earned per success (design)
+	minRetriesPerSec   = 3           // retries a second always allowed (design)
+	ttl                = 10 * second // lifetime of a credit (design)
+	creditSpan         = second / 2  // resolution at which credits expire; 5% of ttl is fine enough
+	retryAfterMultiple = 2           // refusals with Retry-After spend at this multiple (design)
+	backoffBase        = second / 10 // µs; first jitter window (design)
+	backoffCap         = 8 * second  // µs; widest jitter window (design)
 )
 
-// budget is the design's retry bucket. Only spans with live credits are kept, most destinations see few messages.
+// budget is the retry budget of the design. Only spans with live credits are stored, as most destinations get few messages.
 type budget struct {
-	spans []credits // in the order of their places in a ring of all spans that can live, so as many at most
+	spans []credits // ordered by slot in a ring of all spans that can live, so bounded by its size
 	spent float64
 }
 
@@ -28,7 +28,7 @@
 	n    int
 }
 
-// place is where a span stands in the ring.
+// place is the slot of a span in the ring.
 func (c credits) place() int64 { return c.span % int64(ttl/creditSpan+1) }
 
 func (b *budget) expire(now int64, percent float64) (live int) {
@@ -56,11 +56,11 @@
 
 func (b *budget) withdraw(now int64, percent, floor float64) bool {
 	live := b.expire(now, percent)
-	may := float64(live)*percent+floor*float64(ttl/second)-b.spent >= 1
-	if may {
+	allowed := float64(live)*percent+floor*float64(ttl/second)-b.spent >= 1
+	if allowed {
 		b.spent++
 	}
-	return may
+	return allowed
 }
 
 // backoff draws from the jitter window that a message has after its legs, in µs.
@@ -69,46 +69,45 @@
 	return int64(s.chance() * float64(window))
 }
 
-// waitUnsent keeps a message whose leg did not begin back for a moment, while there is time for it. Danger: what kept one leg from beginning, such
-// as a folder that takes no record, keeps the next from it too: gone again at once, all legs are used up within milliseconds. A leg from before a
-// restart is long over.
-func (s *Sender) waitUnsent(m *msg) {
+// delayUnsent delays a message whose leg did not start, while there is time. What kept the leg from starting, such as a folder that takes no
+// record, keeps the next from it too: without a delay all legs would be used up within milliseconds. A leg from before a restart is long over.
+func (s *Sender) delayUnsent(m *msg) {
 	latest := m.legs[len(m.legs)-1].call
-	if at := s.now + s.backoff(m); !latest.r.past && at <= m.lastChance() {
+	if at := s.now + s.backoff(m); !latest.r.placeholder && at <= m.lastChance() {
 		m.notBefore = max(m.notBefore, at)
 	}
 }
 
-// repeat is the design's mechanism: budget, told wait plus full jitter, deadline.
-func (s *Sender) repeat(m *msg, o Outcome, wait int64) {
+// retry requeues a message after a failed leg as designed: budget, Retry-After plus full jitter, deadline.
+func (s *Sender) retry(m *msg, o Outcome, wait int64) {
 	d := m.dst
-	if m.recalled || len(m.legs) >= s.room.Legs || m.risky() != nil && m.lane.Repeat == NonRetriable {
-		s.end(m, wait, MayNotRepeat)
+	if m.recalled || len(m.legs) >= s.limits.MaxLegs || m.firstMaybeRun() != nil && m.class.RetryMode == NonRetriable {
+		s.endUndelivered(m, wait, RetryNotAllowed)
 		return
 	}
-	if o == Skipped { // nothing was asked of the destination, so its budget has no say
-		s.waitUnsent(m)
-		s.turn(m, held)
+	if o == NotSent { // the destination was not called, so its budget does not apply
+		s.delayUnsent(m)
+		s.setState(m, queued)
 		return
 	}
-	bucket, percent := &d.errs, percentCanRetry
-	if o == Full && wait > 0 {
-		bucket, percent = &d.told, percentCanRetry*toldWaitBonus
+	bucket, percent := &d.errorRetries, percentCanRetry
+	if o == Refused && wait > 0 {
+		bucket, percent = &d.retryAfterRetries, percentCanRetry*retryAfterMultiple
 	}
 	m.notBefore = s.now + wait + s.backoff(m)
 	switch {
 	case !bucket.withdraw(s.now, percent, s.floor):
-		s.end(m, wait, NoRetryBudget)
+		s.endUndelivered(m, wait, RetryBudgetExhausted)
 		return
 	case m.notBefore > m.lastChance():
-		s.end(m, wait, RetryTooLate)
+		s.endUndelivered(m, wait, RetryTooLate)
 		return
 	}
-	s.turn(m, held)
+	s.setState(m, queued)
 }
 
-// Floor sets the repeats a second always allowed at a destination; a negative one brings back the design's.
-func (s *Sender) Floor(perSec float64) {
+// SetRetryFloor sets the retries a second always allowed at a destination; a negative one restores the default.
+func (s *Sender) SetRetryFloor(perSec float64) {
 	s.floor = perSec
 	if perSec < 0 {
 		s.floor = minRetriesPerSec
--- a/choice/return_world_test.go
+++ b/choice/return_world_test.go
@@ -8,25 +8,25 @@
 	"slices"
 )
 
-// coldDay is an outage and the return of one destination, met by a fleet of which each sender has its thin part of the
-// traffic. The destination falls when calls and probes, refused ones too, pass what it bears and 2 roots of that and 2.
-type coldDay struct {
+// returnScenario is an outage and the return of one destination called by a fleet in which each sender has a small part of the traffic. The
+// destination fails when calls and probes, refused ones included, exceed what it takes by more than 2 square roots of that and 2.
+type returnScenario struct {
 	senders, endpoints int
 	capacity           float64 // calls a second when warm
-	load               float64 // hand-ins in parts of that; three quarters if 0
-	from               int64   // when the outage begins; coldFrom if 0
-	threeRoots         bool    // it bears 3 roots and 3 instead where it may have under 30 calls
-	spread             float64 // share of the senders that start anew at draws over the outage
-	spreadFor          int64   // µs after its begin in which they do; until the return if 0
-	how                string
-	deaf               bool    // no note is heard
-	restarted          float64 // share of the senders that start anew half a second before the return
-	believed           float64 // number of senders by the settings, in true ones; 0 for right
+	load               float64 // hand-ins as a share of capacity; three quarters if 0
+	from               int64   // start of the outage; coldFrom if 0
+	threeRoots         bool    // the margin is 3 roots and 3 instead where it may get under 30 calls
+	spread             float64 // share of the senders that restart at random times during the outage
+	spreadFor          int64   // µs after its start in which they do; until the return if 0
+	fault              string
+	noNotes            bool    // no note is received
+	restarted          float64 // share of the senders that restart half a second before the return
+	configured         float64 // configured number of senders, relative to the true one; 0 for right
 	trust              WeightTrust
 	backAt             int64
-	tells              float64 // share of refusals while shut that tell the wait
-	tellsAll           int64   // µs; wait that every refusal while shut tells, however long it stays shut; 0 for none
-	again              int64   // µs from the return to a second outage of coldOut; 0 for none
+	retryAfterShare    float64 // share of refusals while shut that carry a Retry-After
+	fixedRetryAfter    int64   // µs; Retry-After of every refusal while shut, however long it stays shut; 0 for none
+	secondOutageIn     int64   // µs from the return to a second outage of coldOut; 0 for none
 }
 
 const (
@@ -37,79 +37,79 @@
 	coldOut  = 2 * second // length of a second outage
 )
 
-// coldSender is one of the fleet, and its host.
-type coldSender struct {
+// simSender is a sender of the fleet and its host.
+type simSender struct {
 	*Sender
-	w     *coldWorld
-	ring  int64
-	told  bool // of the outage, by a call or probe
-	part  float64
-	legs  map[string]int
-	lives int
+	w            *returnSim
+	timerFiresAt int64
+	sawOutage    bool // it saw the outage by a call or probe
+	part         float64
+	legs         map[string]int
+	incarnation  int
 }
 
-// coldEvent is a call or probe on its way or back, a note, or a message that a client hands in again.
-type coldEvent struct {
+// simEvent is a call or probe on its way or back, a note, or a message that a client hands in again.
+type simEvent struct {
 	at         int64
-	by         *coldSender
-	life, leg  int
-	id, note   string // no id: a probe
+	by         *simSender
+	epoch, leg int
+	id, note   string // a probe has no id
 	receiver   uint32
-	patience   int64
+	timeout    int64
 	over       bool
-	toldOutage bool // it went wrong while the destination was out
+	toldOutage bool // it failed while the destination was out
 	out        Outcome
 	wait       int64
 }
 
 // weighedCall is a call or probe that counts against the budget of a return.
 type weighedCall struct {
-	at     int64
-	byTold bool // by a sender that had been told of the outage
+	at        int64
+	fromAware bool // by a sender that had seen the outage
 }
 
-// coldWorld plays a coldDay.
-type coldWorld struct {
-	coldDay
-	r        *rand.Rand
-	now      int64
-	senders  []*coldSender
-	events   []*coldEvent
-	expires  map[string]int64
-	tries    map[string]int
-	freeAt   []int64
-	weighed  []weighedCall // what came while it was cold
-	restarts []int64       // of the last senders
-	fell     bool
-	broken   bool // two thirds of what pushed it over came from senders that had been told
+// returnSim simulates a returnScenario.
+type returnSim struct {
+	returnScenario
+	r          *rand.Rand
+	now        int64
+	senders    []*simSender
+	events     []*simEvent
+	expires    map[string]int64
+	tries      map[string]int
+	freeAt     []int64
+	weighed    []weighedCall // calls and probes while it was cold
+	restarts   []int64       // of the last senders
+	overloaded bool
+	byAware    bool // two thirds of what overloaded it came from senders that had seen the outage
 }
 
-func (m *coldSender) Send(id string, r uint32, p int64) {
-	m.w.plan(10*ms, &coldEvent{by: m, life: m.lives, id: id, leg: m.legs[id], receiver: r, patience: p})
+func (m *simSender) Send(id string, r uint32, p int64) {
+	m.w.plan(10*ms, &simEvent{by: m, epoch: m.incarnation, id: id, leg: m.legs[id], receiver: r, timeout: p})
 	m.legs[id]++
 }
-func (m *coldSender) Probe(r uint32) {
-	m.w.plan(10*ms, &coldEvent{by: m, life: m.lives, receiver: r, patience: 3 * second / 2})
+func (m *simSender) Probe(r uint32) {
+	m.w.plan(10*ms, &simEvent{by: m, epoch: m.incarnation, receiver: r, timeout: 3 * second / 2})
 }
-func (m *coldSender) PushBack(id string, in int64) {
+func (m *simSender) Reject(id string, in int64) {
 	if m.w.tries[id]++; m.w.tries[id] <= 2 {
-		m.w.plan(max(in, 400*ms+m.w.r.Int64N(1500*ms)), &coldEvent{id: id})
+		m.w.plan(max(in, 400*ms+m.w.r.Int64N(1500*ms)), &simEvent{id: id})
 	}
 }
-func (m *coldSender) Note(text string) {
-	if !m.w.deaf {
-		m.w.plan(10*ms, &coldEvent{by: m, note: text})
+func (m *simSender) Broadcast(text string) {
+	if !m.w.noNotes {
+		m.w.plan(10*ms, &simEvent{by: m, note: text})
 	}
 }
-func (m *coldSender) Timer(in int64, _ uint64) { m.ring = m.w.now + in }
-func (m *coldSender) Cancel(string, int)       {}
-func (m *coldSender) Fail(string)              {}
-func (m *coldSender) CloseIdle(uint32)         {}
-func (m *coldSender) Subscribe()               {}
-func (m *coldSender) Log(string)               {}
-func (m *coldSender) Saw(Sight)                {}
+func (m *simSender) SetTimer(in int64, _ uint64) { m.timerFiresAt = m.w.now + in }
+func (m *simSender) Cancel(string, int)          {}
+func (m *simSender) Fail(string)                 {}
+func (m *simSender) CloseIdle(uint32)            {}
+func (m *simSender) Subscribe()                  {}
+func (m *simSender) Log(string)                  {}
+func (m *simSender) Share(Observation)           {}
 
-func (w *coldWorld) plan(in int64, e *coldEvent) {
+func (w *returnSim) plan(in int64, e *simEvent) {
 	e.at = w.now + in
 	i := len(w.events)
 	for i > 0 && w.events[i-1].at > e.at {
@@ -118,41 +118,41 @@
 	w.events = slices.Insert(w.events, i, e)
 }
 
-// start begins a life of a sender that knows the list, and what its folder tells: what it held, and where it left a slow start.
-func (m *coldSender) start() {
+// start starts a process of a sender that knows the list and what its folder holds: its queue and the progress of slow starts.
+func (m *simSender) start() {
 	var owes []string
 	var cold []ColdDst
-	if m.lives++; m.lives > 1 {
+	if m.incarnation++; m.incarnation > 1 {
 		cold = m.Cold()
 		for id, x := range m.msgs {
-			if x.state == held {
+			if x.state == queued {
 				owes = append(owes, id)
 			}
 		}
 	}
 	w := m.w
-	m.told, m.ring, m.legs = false, never, map[string]int{}
-	team := Team{Senders: int(math.Ceil(cmp.Or(w.believed, 1) * float64(len(w.senders))))}
-	m.Sender = New(m, w.r.Uint64(), team, []Lane{keyed}, []Kind{{Batch: 1}}, Room{Slots: 12, Held: 60, Legs: 6, Idle: 5 * second},
-		Allowed{Probes: true, Notes: true, Cancel: true, MaxAdvice: 2 * second},
-		Guards{StartShare: coldLow, WarmWithin: coldWarm, Overload: 2}, w.trust)
-	m.At(w.now)
-	m.ColdBefore(cold)
+	m.sawOutage, m.timerFiresAt, m.legs = false, never, map[string]int{}
+	team := Topology{Senders: int(math.Ceil(cmp.Or(w.configured, 1) * float64(len(w.senders))))}
+	m.Sender = New(m, w.r.Uint64(), team, []Class{keyed}, []Kind{{Batch: 1}}, Limits{MaxCalls: 12, MaxQueued: 60, MaxLegs: 6, IdleTimeout: 5 * second},
+		Capabilities{Probes: true, PeerNotes: true, Cancel: true, MaxRetryAfter: 2 * second},
+		Rules{StartCapacity: coldLow, WarmUpTime: coldWarm, OverloadFactor: 2}, w.trust)
+	m.SetTime(w.now)
+	m.RestoreCold(cold)
 	for i := range w.endpoints {
 		weight := w.capacity
 		if w.trust == RoughWeight {
 			weight *= .5 + w.r.Float64()
 		}
-		m.Listed(Changes, []Entry{{Receiver: uint32(i + 1), Dst: 7, Weight: weight, Listed: true}})
+		m.UpdateList(Delta, []Entry{{Receiver: uint32(i + 1), Dst: 7, Weight: weight, Listed: true}})
 	}
 	slices.Sort(owes)
 	for _, id := range owes {
-		m.Take(id, 0, "", 7, w.expires[id])
+		m.Accept(id, 0, "", 7, w.expires[id])
 	}
 }
 
-// arrives is where a call or probe meets the destination; the outcome goes back.
-func (w *coldWorld) arrives(e *coldEvent) {
+// arrives handles a call or probe at the destination and schedules its outcome.
+func (w *returnSim) arrives(e *simEvent) {
 	back := func(o Outcome, wait, in int64) {
 		e.over, e.out, e.wait, e.toldOutage = true, o, wait, w.now >= w.from && w.now < w.backAt && o != Delivered
 		w.plan(in, e)
@@ -163,16 +163,16 @@
 	}
 	if w.now >= w.from && w.now < w.backAt {
 		switch {
-		case w.how == "refuse":
+		case w.fault == "refuse":
 			back(ConnectFailed, 0, 10*ms)
-		case w.how == "silent":
+		case w.fault == "silent":
 			back(ConnectFailed, 0, second)
-		case w.how == "hang":
-			back(TimedOut, 0, e.patience)
-		case w.how == "shut" && e.id != "" && w.r.Float64() < w.tells: // a told wait is honest
-			back(Full, w.backAt-w.now, 10*ms)
-		case w.how == "shut":
-			back(Full, w.tellsAll, 10*ms)
+		case w.fault == "hang":
+			back(TimedOut, 0, e.timeout)
+		case w.fault == "shut" && e.id != "" && w.r.Float64() < w.retryAfterShare: // the Retry-After is exact
+			back(Refused, w.backAt-w.now, 10*ms)
+		case w.fault == "shut":
+			back(Refused, w.fixedRetryAfter, 10*ms)
 		case w.r.Float64() < .7:
 			back(Errored, 0, 15*ms)
 		default:
@@ -181,7 +181,7 @@
 		return
 	}
 	if share < 1 {
-		w.weigh(e, 2*w.capacity*share*float64(coldFall)/float64(second))
+		w.countLoad(e, 2*w.capacity*share*float64(coldFall)/float64(second))
 	}
 	free := &w.freeAt[e.receiver-1]
 	*free = max(*free, w.now)
@@ -189,65 +189,65 @@
 	case e.id == "":
 		back(Delivered, 0, 20*ms)
 	case *free-w.now > 3*second: // its queue is full
-		back(Full, 0, 10*ms)
+		back(Refused, 0, 10*ms)
 	default:
 		*free += int64(w.r.ExpFloat64() * float64(second) * float64(w.endpoints) / (1.2 * w.capacity * share))
-		if took := *free - w.now + 150*ms; took > e.patience {
-			back(TimedOut, 0, e.patience)
+		if took := *free - w.now + 150*ms; took > e.timeout {
+			back(TimedOut, 0, e.timeout)
 		} else {
 			back(Delivered, 0, took)
 		}
 	}
 }
 
-// weigh counts a call or probe, and has the destination fall if the window that ends with it has more than it bears.
-func (w *coldWorld) weigh(e *coldEvent, bears float64) {
-	w.weighed = append(w.weighed, weighedCall{w.now, e.by.told})
-	all, told := 0., 0.
+// countLoad counts a call or probe, and has the destination fail if the window that ends with it exceeds the budget.
+func (w *returnSim) countLoad(e *simEvent, expected float64) {
+	w.weighed = append(w.weighed, weighedCall{w.now, e.by.sawOutage})
+	all, sawOutage := 0., 0.
 	for _, x := range w.weighed {
 		if w.now-x.at < coldFall {
 			all++
-			if x.byTold {
-				told++
+			if x.fromAware {
+				sawOutage++
 			}
 		}
 	}
 	roots := 2.
-	if w.threeRoots && bears < 30 {
+	if w.threeRoots && expected < 30 {
 		roots = 3
 	}
-	if all > bears+roots*math.Sqrt(bears)+roots {
-		w.fell, w.broken = true, told > all*2/3
+	if all > expected+roots*math.Sqrt(expected)+roots {
+		w.overloaded, w.byAware = true, sawOutage > all*2/3
 	}
 }
 
-// meets lets happen what was planned.
-func (w *coldWorld) meets(e *coldEvent) {
+// process handles a scheduled event.
+func (w *returnSim) process(e *simEvent) {
 	switch m := e.by; {
 	case m == nil:
-		w.hand(e.id)
+		w.handIn(e.id)
 	case e.note != "":
 		for _, o := range w.senders {
 			if o != m {
-				o.At(w.now)
-				o.Noted(e.note)
+				o.SetTime(w.now)
+				o.ReceiveNote(e.note)
 			}
 		}
 	case !e.over:
 		w.arrives(e)
-	case e.life == m.lives:
-		m.At(w.now)
-		m.told = m.told || e.toldOutage
+	case e.epoch == m.incarnation:
+		m.SetTime(w.now)
+		m.sawOutage = m.sawOutage || e.toldOutage
 		if e.id == "" {
-			m.Probed(e.receiver, e.out, Report{})
+			m.ProbeEnded(e.receiver, e.out, RateLimit{})
 		} else {
-			m.Settled(e.id, e.leg, e.out, e.wait, e.out == Delivered, Report{})
+			m.LegEnded(e.id, e.leg, e.out, e.wait, e.out == Delivered, RateLimit{})
 		}
 	}
 }
 
-// hand gives a message to a sender by the parts of the traffic.
-func (w *coldWorld) hand(id string) {
+// handIn gives a message to a random sender by its part of the traffic.
+func (w *returnSim) handIn(id string) {
 	sum, to := 0., w.senders[0]
 	for _, m := range w.senders {
 		if sum += m.part; w.r.Float64()*sum < m.part {
@@ -255,19 +255,19 @@
 		}
 	}
 	if w.now < w.expires[id] {
-		to.At(w.now)
+		to.SetTime(w.now)
 		delete(to.legs, id)
-		to.Take(id, 0, "", 7, w.expires[id])
+		to.Accept(id, 0, "", 7, w.expires[id])
 	}
 }
 
-// play lets the day happen, until it is warm again or fell.
-func (d coldDay) play(seed uint64) *coldWorld {
+// play runs the simulation until the destination is warm again or failed.
+func (d returnScenario) play(seed uint64) *returnSim {
 	d.from, d.load = cmp.Or(d.from, coldFrom), cmp.Or(d.load, .75)
-	w := &coldWorld{coldDay: d, r: rand.New(rand.NewPCG(seed, 7)), now: second, freeAt: make([]int64, d.endpoints),
+	w := &returnSim{returnScenario: d, r: rand.New(rand.NewPCG(seed, 7)), now: second, freeAt: make([]int64, d.endpoints),
 		expires: map[string]int64{}, tries: map[string]int{}}
 	for range d.senders {
-		w.senders = append(w.senders, &coldSender{w: w, part: w.r.ExpFloat64() + .1})
+		w.senders = append(w.senders, &simSender{w: w, part: w.r.ExpFloat64() + .1})
 	}
 	for _, m := range w.senders {
 		m.start()
@@ -275,15 +275,15 @@
 	for range int(d.spread * float64(d.senders)) {
 		w.restarts = append(w.restarts, d.from+w.r.Int64N(cmp.Or(d.spreadFor, d.backAt-d.from)/(5*ms))*5*ms)
 	}
-	secondOut := w.backAt + w.again
-	for next := w.now; w.now < w.backAt+coldWarm && !w.fell; w.now += 5 * ms {
-		if w.again > 0 && w.now == secondOut {
+	secondOut := w.backAt + w.secondOutageIn
+	for next := w.now; w.now < w.backAt+coldWarm && !w.overloaded; w.now += 5 * ms {
+		if w.secondOutageIn > 0 && w.now == secondOut {
 			w.from, w.backAt, w.weighed = secondOut, secondOut+coldOut, nil
 		}
 		for ; next <= w.now; next += int64(w.r.ExpFloat64() * float64(second) / (d.load * d.capacity)) {
 			id := fmt.Sprint(len(w.expires))
 			w.expires[id] = w.now + keyed.Deadline
-			w.hand(id)
+			w.handIn(id)
 		}
 		for i, at := range w.restarts {
 			if at == w.now {
@@ -298,13 +298,13 @@
 		for len(w.events) > 0 && w.events[0].at <= w.now {
 			e := w.events[0]
 			w.events = w.events[1:]
-			w.meets(e)
+			w.process(e)
 		}
 		for _, m := range w.senders {
-			m.At(w.now)
-			if m.ring <= w.now {
-				m.ring = never
-				m.Rang(0)
+			m.SetTime(w.now)
+			if m.timerFiresAt <= w.now {
+				m.timerFiresAt = never
+				m.TimerFired(0)
 			}
 			m.Decide()
 		}
--- a/choice/room.go
+++ b/choice/room.go
@@ -5,111 +5,109 @@
 	"slices"
 )
 
-// Which messages give way when the holding room is full, and which cannot go in time.
+// Load shedding when the queue is full, and the end of messages that cannot go in time.
 
 const (
-	roomKept = 0.97 // of the holding room; beyond, messages that cannot go soon are pushed back
+	queueFullShare = 0.97 // of the queue's limit; beyond, messages that cannot go soon are rejected
 )
 
-// giveUp ends what cannot go in time: held, it would fill the room and run out; pushed back, its client finds
-// another sender, or this one later. What surely never ran and was told no wait that long is kept for most of
-// its time first: a fellow's note of a return may let it go.
+// giveUp ends messages that cannot go in time: queued, they would fill the queue and expire; rejected, their clients find another sender, or
+// this one later. A message that surely never ran, and has no Retry-After that long, is kept for most of its time first: a peer's note of a
+// recovery may let it go.
 func (s *Sender) giveUp(d *dst) {
-	at, told := never, never
+	at, waitsUntil := never, never
 	for _, r := range d.recvs {
-		hope := max(r.route.waitUntil, r.route.pause)
+		earliest := max(r.route.waitUntil, r.route.pausedUntil)
 		if r.health == closed {
-			hope = max(hope, r.route.trialAt)
+			earliest = max(earliest, r.route.nextProbeAt)
 		} else if ready := s.recoveryReadyAt(r); ready < never {
-			hope = max(hope, ready)
+			earliest = max(earliest, ready)
 		}
-		at, told = min(at, hope), min(told, r.route.waitUntil)
+		at, waitsUntil = min(at, earliest), min(waitsUntil, r.route.waitUntil)
 	}
 	for _, m := range d.endingBefore(at) {
-		if m.risky() == nil && max(s.now, told) < m.keepTill {
-			s.wakeBy(d, m.keepTill)
+		if m.firstMaybeRun() == nil && max(s.now, waitsUntil) < m.keepUntil {
+			s.wakeBy(d, m.keepUntil)
 		} else {
-			s.end(m, at-s.now, NoHopeInTime)
+			s.endUndelivered(m, at-s.now, NoReceiverInTime)
 		}
 	}
 }
 
-// makeRoom pushes back before the holding room is full, when nobody's messages get in. The destination with
-// most held gives way.
-func (s *Sender) makeRoom() {
+// shedLargest rejects messages before the queue is full, when no new one would get in. It sheds from the destination with the longest queue.
+func (s *Sender) shedLargest() {
 	if excess := s.excess(); excess > 0 {
-		s.giveWay(slices.MaxFunc(s.order, func(a, b *dst) int { return len(a.held) - len(b.held) }), excess)
+		s.shed(slices.MaxFunc(s.order, func(a, b *dst) int { return len(a.queued) - len(b.queued) }), excess)
 	}
 }
 
-func (s *Sender) excess() int { return len(s.expiry) - int(roomKept*float64(s.room.Held)) }
+func (s *Sender) excess() int { return len(s.expiry) - int(queueFullShare*float64(s.limits.MaxQueued)) }
 
-// MakeRoom is for who takes up many in one turn. Danger: one destination would give way for all of them.
-func (s *Sender) MakeRoom() {
-	for _, c := range s.crowds(s.excess()) {
-		s.giveWay(c.dst, c.n)
+// ShedExcess is for callers that accept many messages in one turn; shedLargest would take all of them from one destination.
+func (s *Sender) ShedExcess() {
+	for _, c := range s.shedCounts(s.excess()) {
+		s.shed(c.dst, c.n)
 	}
 }
 
-// giveWay pushes back the least urgent messages of a destination.
-func (s *Sender) giveWay(d *dst, n int) {
+// shed rejects the least urgent messages of a destination.
+func (s *Sender) shed(d *dst, n int) {
 	var out []candidate
-	for _, m := range slices.Backward(d.held) {
-		if m.mayPushBack() {
+	for _, m := range slices.Backward(d.queued) {
+		if m.mayReject() {
 			out = append(out, candidate{m: m, urgent: s.urgency(m)})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b candidate) int { return cmp.Compare(a.urgent, b.urgent) })
 	for _, c := range out[:min(n, len(out))] {
-		s.end(c.m, 0, NoRoomHeld)
+		s.endUndelivered(c.m, 0, QueueFull)
 	}
 }
 
-// crowd is how many messages of a destination give way.
-type crowd struct {
+// shedCount is how many messages a destination sheds.
+type shedCount struct {
 	dst *dst
 	n   int
 }
 
-// crowds shares out how many messages give way: the destinations with most held come down to one level, as if each message in excess
-// had come alone.
-func (s *Sender) crowds(excess int) (cs []crowd) {
+// shedCounts distributes the excess: the longest queues come down to one level, as if each excess message had arrived alone.
+func (s *Sender) shedCounts(excess int) (cs []shedCount) {
 	if excess <= 0 {
 		return nil
 	}
 	ds := slices.Clone(s.order)
-	slices.SortStableFunc(ds, func(a, b *dst) int { return len(b.held) - len(a.held) })
+	slices.SortStableFunc(ds, func(a, b *dst) int { return len(b.queued) - len(a.queued) })
 	n, sum := 0, 0
-	for n < len(ds) && sum-n*len(ds[n].held) < excess {
-		sum += len(ds[n].held)
+	for n < len(ds) && sum-n*len(ds[n].queued) < excess {
+		sum += len(ds[n].queued)
 		n++
 	}
 	ds = ds[:n]
-	slices.SortFunc(ds, func(a, b *dst) int { return int(a.number - b.number) }) // of equal ones the first gives way first
+	slices.SortFunc(ds, func(a, b *dst) int { return int(a.number - b.number) }) // of equal ones the first sheds first
 	for _, d := range ds {
-		over := min(excess, len(d.held)-max(0, sum-excess)/n)
-		cs = append(cs, crowd{d, over})
-		sum, excess, n = sum-len(d.held), excess-over, n-1
+		over := min(excess, len(d.queued)-max(0, sum-excess)/n)
+		cs = append(cs, shedCount{d, over})
+		sum, excess, n = sum-len(d.queued), excess-over, n-1
 	}
 	return cs
 }
 
-// hold has a message wait at its destination.
-func (d *dst) hold(m *msg) {
-	if d.use(); len(d.held) == 0 {
+// enqueue adds a message to its destination's queue.
+func (d *dst) enqueue(m *msg) {
+	if d.use(); len(d.queued) == 0 {
 		d.slotlessSince = 0
 	}
-	d.held = append(d.held, m)
-	d.firstChance = min(d.firstChance, m.lastChance()) // it stays so while m is held: legs are added and settled elsewhere
+	d.queued = append(d.queued, m)
+	d.firstChance = min(d.firstChance, m.lastChance()) // does not change while m is queued: legs are added and ended elsewhere
 }
 
-// endingBefore lists the messages held whose last chance comes before a time.
+// endingBefore lists the queued messages whose last chance is before a time.
 func (d *dst) endingBefore(at int64) (ms []*msg) {
 	if at == never || d.firstChance >= at {
 		return nil
 	}
 	d.firstChance = never
-	for _, m := range d.held {
+	for _, m := range d.queued {
 		chance := m.lastChance()
 		d.firstChance = min(d.firstChance, chance)
 		if chance < at {
--- a/choice/state.go
+++ b/choice/state.go
@@ -5,81 +5,81 @@
 	"hash/crc32"
 )
 
-// What the module remembers, without any decision.
+// The module's state. Nothing here decides.
 
-// route is what shares one limit and one told wait: a destination, or a receiver where routes are apart.
+// route is the unit that shares one rate limit and one Retry-After: a destination, or a receiver where Kind.PerReceiver is set.
 type route struct {
-	share float64 // even share of the known limit, 0 if none is known
-	*pace
+	share float64 // this sender's even share of the known limit in calls a second, 0 if no limit is known
+	*routeState
 }
 
-// pace is what is known of a route that was called or heard of.
-type pace struct {
-	waitUntil   int64
-	told        float64 // limit told by answers, calls a second, 0 if none
-	tokens      float64
-	filledAt    int64
-	full        float64        // even shares that it is sent when first refused; pace gives back up to a little more
-	press       float64        // even shares that it bore right after the latest refusal in the team
-	pressedAt   int64          // when that counted, 0 for never
-	returned    *limitedReturn // nil for none
-	rise        float64        // shares given back each µs since
-	lease       lease
-	part        float64 // of its sender in the team's messages, in means; 0 for not known
-	rowFrom     int64   // when that row began
-	row         int     // refusals since the last success
-	refusedAt   int64   // of the latest refusal
-	rounds      int     // of that row: calls that were refused together, being out at one time, are one
-	untold      bool    // one of those told no wait
-	owedRefused int     // messages owed from before a restart that were refused last
-	bad         int     // calls gone wrong since the last success
-	badFrom     int64   // when the first of those went wrong
-	failing     float64 // recent share of calls gone wrong
-	okAt        int64   // of the latest success, 0 for none
-	strikes     float64 // points of those
-	trialAt     int64   // no probe of a closed receiver before
-	pause       int64   // until when a row of refusals keeps all calls back
-	oks         float64 // successes
-	okFrom      int64
-	okNow       float64 // successes in the span since okFrom
-	okPeak      float64 // most successes a second over a span, less their noise
-	ill         bool    // a call failed there since the last success
-	piling      bool    // the latest call or probe hung or was refused, so trials may pile up there
-	recovery    recovery
+// routeState is the state of a route that was called or that a peer reported on.
+type routeState struct {
+	waitUntil          int64
+	announcedLimit     float64 // limit announced by responses in calls a second, 0 if none
+	tokens             float64
+	filledAt           int64
+	fullShares         float64        // even shares of the limit allowed right after the first refusal; they grow back to maxEvenShares times that
+	throttledShares    float64        // even shares still allowed right after the latest refusal at any sender
+	throttledAt        int64          // when that refusal counted, 0 for never
+	returned           *limitedReturn // nil while no return is in progress
+	shareSlope         float64        // shares regained per µs since throttledAt
+	lease              lease
+	trafficShare       float64 // this sender's part of all traffic, relative to the mean of all senders; 0 for unknown
+	refusalsFrom       int64   // when the consecutive refusals began
+	refusals           int     // consecutive refusals
+	refusedAt          int64   // time of the latest refusal
+	refusalRounds      int     // of those refusals; calls in flight together that are refused count as one
+	noRetryAfter       bool    // one of those refusals carried no Retry-After
+	restoredRefusals   int     // messages restored after a restart whose last leg was refused
+	failures           int     // consecutive failed calls
+	failuresFrom       int64   // when the first of those failed
+	failureRate        float64 // moving average of the share of failed calls
+	lastSuccessAt      int64   // 0 for none
+	failureScore       float64 // sum over the consecutive failures
+	nextProbeAt        int64   // no probe of a closed receiver before
+	pausedUntil        int64   // no call before, because of consecutive refusals
+	successes          float64 // delivered calls
+	spanFrom           int64
+	spanSuccesses      float64 // of those, since spanFrom
+	peakRate           float64 // highest success rate over a span in calls a second, less the expected noise
+	failedSinceSuccess bool    // a call failed since the last success
+	callsPileUp        bool    // the latest call or probe timed out or was refused, so probes may pile up at the destination
+	recovery           recovery
 }
 
-// Most destinations known never get a message. What they would need for one is made at first use; until then these stand in, which nobody
-// writes to. Danger: a write to them would count at all destinations of all senders.
+// Most known destinations never get a message, so the state for messages is allocated at first use. Until then these shared zero values stand
+// in. They must never be written to: a write would change all unused destinations of all senders.
 var (
-	idlePace    = &pace{}
-	idleConduct = &conduct{}
-	idleTraffic = &traffic{firstChance: never}
+	unusedRoute    = &routeState{}
+	unusedReceiver = &receiverState{}
+	unusedDst      = &dstState{firstChance: never}
 )
 
-func newRoute() *route { return &route{pace: idlePace} }
+func newRoute() *route { return &route{routeState: unusedRoute} }
 
-func (p *route) isUsed() bool { return p.pace != nil && p.pace != idlePace }
+func (p *route) isUsed() bool { return p.routeState != nil && p.routeState != unusedRoute }
 
-// use is asked before anything is written to a route but its share.
+// use allocates the state of a route; it must be called before anything but share is written.
 func (p *route) use() *route {
 	if !p.isUsed() {
-		p.pace = &pace{tokens: p.firstTokens()}
+		p.routeState = &routeState{tokens: p.firstTokens()}
 	}
 	return p
 }
 
-// use is asked before anything is written to a destination's traffic.
+// use allocates the state of a destination; it must be called before that state is written.
 func (d *dst) use() *dst {
-	if d.traffic == idleTraffic {
-		d.traffic = &traffic{firstChance: never}
+	if d.dstState == unusedDst {
+		d.dstState = &dstState{firstChance: never}
 	}
 	return d
 }
 
-// used is asked before anything is written to a receiver's conduct, its route or its destination's traffic.
+// used allocates the state of a receiver, its route and its destination; it must be called before any of them is written.
 func (r *receiver) used() *receiver {
-	if r.conduct == idleConduct {
-		r.conduct = &conduct{}
+	if r.receiverState == unusedReceiver {
+		r.receiverState = &receiverState{}
 	}
 	r.route.use()
 	r.dst.use()
@@ -90,144 +90,144 @@
 
 const (
 	open    health = iota
-	closed         // only a rare probe, or a trial where probes are not allowed
-	warming        // back: its cold capacity bounds what it gets
+	closed         // only rare probes, or trial calls where probes are not allowed
+	warming        // recovering; gets what its cold capacity allows
 )
 
 func (h health) String() string { return [...]string{"open", "closed", "warming"}[h] }
 
 type receiver struct {
-	id       uint32
-	place    int32 // in the list of its own destination, from 1; 0 while unlisted
-	dst      *dst
-	route    *route
-	zone     int
-	weight   float64
-	listedAt int64 // when the list last named it
-	leaving  bool  // among those unlisted
-	past     bool  // stands for one called before a restart, which may be gone
-	*conduct
+	id             uint32
+	listIndex      int32 // index + 1 in the list of its own destination, 0 while unlisted
+	dst            *dst
+	route          *route
+	zone           int
+	weight         float64
+	listedAt       int64 // when the list last named it
+	sweepScheduled bool  // queued in Sender.unlisted or Sender.lingering
+	placeholder    bool  // placeholder for a receiver called before a restart, which may no longer exist
+	*receiverState
 }
 
-// conduct is what is known of a receiver that was called or heard of.
-type conduct struct {
-	calls      int   // out now
-	peak       int   // most calls out when one came back delivered
-	since      int64 // of the last change of health, or of the last setback while warming
-	strikes    float64
-	struckFrom int64 // when the row of those strikes began
-	struckAt   int64
-	fails      map[*Lane]bool // the latest leg of that lane went wrong there; nil until one did
-	usedAt     int64          // of the latest outcome
-	toldBack   int64          // until when a note of its return need not be told again
-	scarceTill int64          // until when its connections are scarce
-	okAt       int64
-	okSent     int64   // when the latest call that it answered went out
-	tokens     float64 // of slow start
-	filledAt   int64
-	health     health
-	missed     bool // lost a leg since it last delivered
-	proved     bool // delivered something since it is warming
-	probing    bool
+// receiverState is the state of a receiver that was called or that a peer reported on.
+type receiverState struct {
+	calls              int   // in flight
+	peakCalls          int   // most calls in flight when one was delivered
+	since              int64 // of the last change of health, or of the last setback while warming
+	failureScore       float64
+	scoreFrom          int64 // when the failures of that score began
+	lastFailureAt      int64
+	fails              map[*Class]bool // classes whose latest leg failed there; nil until one did
+	lastOutcomeAt      int64           // of the latest outcome
+	recoveryNotedUntil int64           // no further note of its recovery before
+	connScarceUntil    int64           // its connections count as scarce until then
+	lastDeliveredAt    int64
+	deliveredSentAt    int64   // when the latest delivered call was sent
+	tokens             float64 // of slow start
+	filledAt           int64
+	health             health
+	lostLeg            bool // lost a leg since it last delivered
+	proved             bool // delivered a call since it is warming
+	probing            bool
 }
 
-// dst is a destination. There is one for each in the lists.
+// dst is a destination; there is one for each in the lists.
 type dst struct {
-	id     int64
-	kind   Kind
-	route  route
-	recvs  []*receiver // listed ones
-	wakeAt int64       // when it is to be looked at again; now or past: it is among the due ones
-	at     int32       // place in the heap of wake-ups, -1 for none
-	number int32       // in the order in which destinations came to be known
-	known  int32       // receivers remembered, listed or not
-	due    bool        // it is to be looked at in this turn
-	bare   bool        // among those that may have nothing left
-	gaps   bool        // while a list is taken in: recvs has places left by receivers that have a later one, or none
-	*traffic
+	id         int64
+	kind       Kind
+	route      route
+	recvs      []*receiver // those listed
+	wakeAt     int64       // next wake-up; in the past or now while due
+	at         int32       // index in the wake-up heap, -1 for none
+	number     int32       // in order of first appearance
+	knownRecvs int32       // receivers remembered, listed or not
+	due        bool        // to be processed in this turn
+	maybeEmpty bool        // queued in Sender.maybeEmpty
+	gaps       bool        // while a list is applied: recvs has stale entries of receivers that moved or were removed
+	*dstState
 }
 
-// traffic is what is known of a destination that had a message.
-type traffic struct {
-	held          []*msg
-	calls         []*call // out, oldest first
-	errs          budget
-	told          budget
-	lease         lease
-	mean          float64 // µs, answer time
-	dev           float64
-	sampled       bool
-	down          bool  // no receiver was open at the latest closing, and none has delivered since
-	downAt        int64 // since when
-	wasDown       int64 // µs, before that
-	calledAt      int64 // when the latest call went out
-	slotlessSince int64 // since when messages that may go wait for a slot, 0 where none do
+// dstState is the state of a destination that had a message.
+type dstState struct {
+	queued            []*msg
+	calls             []*call // in flight, oldest first
+	errorRetries      budget
+	retryAfterRetries budget
+	lease             lease
+	mean              float64 // µs, moving average of the response time
+	dev               float64
+	sampled           bool
+	down              bool  // no receiver was open when one last closed, and none has delivered since
+	downAt            int64 // since when it is down
+	earlierDown       int64 // µs of earlier downtime
+	lastCallAt        int64 // when the latest call was sent
+	slotlessSince     int64 // since when eligible messages wait for a free slot, 0 for none
 
-	// No message held has its last chance before this; too early where those that had it are gone. It spares the walk over all held.
+	// Lower bound of the last chances in queue, possibly too early after messages left. It avoids scanning the whole queue.
 	firstChance int64
 }
 
-// Sender decides for one sender.
+// Sender holds the state and makes the decisions of one sender.
 type Sender struct {
-	host    Host
-	seed    uint64
-	draws   uint64
-	now     int64
-	startAt int64
-	team    Team
-	lanes   []Lane
-	kinds   []Kind
-	room    Room
-	allowed Allowed
-	guards  Guards
-	trust   WeightTrust
+	host     Host
+	seed     uint64
+	draws    uint64
+	now      int64
+	startAt  int64
+	topology Topology
+	classes  []Class
+	kinds    []Kind
+	limits   Limits
+	caps     Capabilities
+	rules    Rules
+	trust    WeightTrust
 
-	msgs      map[string]*msg      // emptied as messages are over and their legs settled
-	dsts      map[int64]*dst       // as many as destinations; emptied by sweep
-	order     []*dst               // the same in a fixed order
-	known     int32                // destinations ever known
-	due       []*dst               // to be looked at in this turn; emptied by it
-	wakes     wakeHeap             // to be looked at later
-	busy      []*dst               // with calls out, in the fixed order
-	recvs     map[uint32]*receiver // emptied by sweep of those unlisted for keepGone
-	gone      goneHeap             // unlisted receivers, once each; emptied as they are listed again or unlisted for keepGone
-	lingering []*receiver          // unlisted for that long, with calls or a probe out; emptied by sweep
-	bare      []*dst               // without receivers; sweep leaves those with messages
-	forgot    []uint32             // receivers that the latest sweep forgot
-	gapped    []*dst               // with gaps; emptied as a list ends
-	unwells   map[*dst]int         // receivers listed and not well, of large destinations; emptied as a list ends
-	lines     map[string]*keyLine  // emptied as lines run empty and keys have rested
-	resting   []*keyLine           // empty lines until their rest is over
-	expiry    expiryHeap           // messages not over
-	calls     int
-	okAt      int64       // of the latest success anywhere, 0 for none
-	distrust  int64       // until when no idle connection is trusted
-	mean      float64     // µs, answer time over all destinations
-	loss      float64     // recent share of legs lost at receivers that answered again
-	taken     int         // messages taken since takenFrom
-	takenFrom int64       // µs; moves up as what was taken longer ago counts half
-	meanGap   float64     // seconds between messages of a mean sender, as fellows tell; 0 if none has
-	spare     []*receiver // used in this turn, to be left without idle connections; emptied every turn
-	timerAt   int64
-	leaveAge  float64 // µs, age at which messages were found given up by their clients
-	leftTill  int64   // until when that counts
-	askAt     int64   // when to subscribe, never while subscribed
-	askedAt   int64   // when it last did
-	stale     int     // legs lost in a row on connections that had stood idle
-	floor     float64 // repeats a second always allowed at a destination
-	coldCalls int     // calls and probes to destinations that may be cold
-	ended     EndCounts
+	msgs              map[string]*msg      // removed once a message is over and its legs have ended
+	dsts              map[int64]*dst       // destinations by id; removed by sweep
+	order             []*dst               // the same, in order of first appearance
+	dstsSeen          int32                // number of destinations seen so far
+	due               []*dst               // to be processed in this turn; emptied by it
+	wakes             wakeHeap             // to be processed later
+	busy              []*dst               // with calls in flight, in the same order
+	recvs             map[uint32]*receiver // removed by sweep once unlisted for keepGone
+	unlistedRecvs     unlistedHeap         // unlisted receivers, once each; removed when listed again or unlisted for keepGone
+	lingering         []*receiver          // unlisted for that long, with calls or a probe in flight; emptied by sweep
+	maybeEmpty        []*dst               // destinations without receivers; sweep keeps those with messages
+	forgotten         []uint32             // receivers that the latest sweep removed
+	gapped            []*dst               // with gaps; emptied at the end of a list
+	unhealthyCounts   map[*dst]int         // unhealthy listed receivers of large destinations; cleared at the end of a list
+	keyQueues         map[string]*keyQueue // removed once empty and past the quiet time of the key
+	quietQueues       []*keyQueue          // empty key queues in their quiet time
+	expiry            expiryHeap           // messages that are not over
+	calls             int
+	lastSuccessAt     int64       // of the latest success anywhere, 0 for none
+	distrustIdleUntil int64       // no idle connection is trusted before
+	mean              float64     // µs, moving average of the response time over all destinations
+	loss              float64     // moving average of the share of legs lost at receivers that answered again
+	accepted          int         // messages accepted since acceptedFrom
+	acceptedFrom      int64       // µs; moves forward as older messages are weighted by half
+	meanMessageGap    float64     // seconds between the messages of a mean sender by the peers' notes; 0 before the first
+	connScarce        []*receiver // receivers called in this turn that keep no idle connection; emptied every turn
+	timerAt           int64
+	clientPatience    float64 // µs, moving average of the age at which clients gave up
+	clientsLeaveUntil int64   // clients count as giving up early until then
+	lookupAt          int64   // next lookup of the list, never while subscribed
+	lastLookupAt      int64   // time of the latest lookup
+	stale             int     // consecutive legs lost on connections that had been idle
+	floor             float64 // retries a second always allowed at a destination
+	coldCalls         int     // calls and probes to destinations that may be cold
+	ended             EndCounts
 
-	cold        map[*route]*dst   // that may be cold; emptied as they are established or forgotten
-	refusing    map[*route]*dst   // that refused the latest call, where no limit is known; emptied by successes or as they are forgotten
-	coldChanges int               // of these tables so far; a refusal's end is none
-	coldBefore  map[int64]float64 // destinations that an earlier process left so, and how warm; it counts for a while after the start
+	cold        map[*route]*dst   // routes that may be cold; removed once established or forgotten
+	refusing    map[*route]*dst   // routes without a known limit whose latest call was refused; removed by a success or when forgotten
+	coldChanges int               // changes of these two maps so far, not counting refusals that ended
+	coldBefore  map[int64]float64 // warm-up of the destinations that an earlier process left cold; used for WarmUpTime after the start
 
-	tellsLater bool
-	restTill   int64 // until when keys new to this process rest
+	endsReportedLater bool
+	restartQuietUntil int64 // keys new to this process wait until then
 }
 
-// chance draws evenly from 0 up to 1, the same row for the same seed.
+// chance draws a uniform number from [0, 1); the same seed gives the same sequence.
 func (s *Sender) chance() float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], s.seed)
@@ -239,27 +239,27 @@
 func (s *Sender) dst(id int64) *dst {
 	d := s.dsts[id]
 	if d == nil {
-		d = &dst{id: id, route: route{pace: idlePace}, kind: Kind{Batch: 1}, at: -1, number: s.known, traffic: idleTraffic}
-		s.known++
+		d = &dst{id: id, route: route{routeState: unusedRoute}, kind: Kind{Batch: 1}, at: -1, number: s.dstsSeen, dstState: unusedDst}
+		s.dstsSeen++
 		s.dsts[id] = d
 		s.order = append(s.order, d)
-		s.mayBeBare(d)
+		s.markMaybeEmpty(d)
 		s.wake(d)
 	}
 	return d
 }
 
-// Belief is what the module holds true of the world, for people to compare with what is so.
-type Belief struct {
+// Stats holds the module's view of the world, for comparison with the true state.
+type Stats struct {
 	Calls, Known, Closed int
 	Warming              int // receivers in slow start
 	ColdCalls            int // calls and probes since the start to destinations that may be cold
 	Ended                EndCounts
 }
 
-// Believes counts calls out, receivers known and those of them closed.
-func (s *Sender) Believes() Belief {
-	b := Belief{Calls: s.calls, Known: len(s.recvs), ColdCalls: s.coldCalls, Ended: s.ended}
+// Stats counts the calls in flight and the known receivers by health.
+func (s *Sender) Stats() Stats {
+	b := Stats{Calls: s.calls, Known: len(s.recvs), ColdCalls: s.coldCalls, Ended: s.ended}
 	for _, r := range s.recvs {
 		switch r.health {
 		case closed:
@@ -271,18 +271,18 @@
 	return b
 }
 
-// New starts a sender that knows nothing yet.
-func New(h Host, seed uint64, team Team, lanes []Lane, kinds []Kind, room Room, allowed Allowed,
-	guards Guards, trust WeightTrust) *Sender {
-	return &Sender{host: h, seed: seed, team: team, lanes: lanes, kinds: kinds, room: room, allowed: allowed,
-		guards: guards, trust: trust, timerAt: never, floor: minRetriesPerSec, msgs: map[string]*msg{}, dsts: map[int64]*dst{},
-		recvs: map[uint32]*receiver{}, lines: map[string]*keyLine{}, cold: map[*route]*dst{}, refusing: map[*route]*dst{}}
+// New starts a sender without any state.
+func New(h Host, seed uint64, topology Topology, classes []Class, kinds []Kind, limits Limits, caps Capabilities,
+	rules Rules, trust WeightTrust) *Sender {
+	return &Sender{host: h, seed: seed, topology: topology, classes: classes, kinds: kinds, limits: limits, caps: caps,
+		rules: rules, trust: trust, timerAt: never, floor: minRetriesPerSec, msgs: map[string]*msg{}, dsts: map[int64]*dst{},
+		recvs: map[uint32]*receiver{}, keyQueues: map[string]*keyQueue{}, cold: map[*route]*dst{}, refusing: map[*route]*dst{}}
 }
 
-// At sets the clock for the events that follow.
-func (s *Sender) At(now int64) {
+// SetTime sets the clock for the events that follow.
+func (s *Sender) SetTime(now int64) {
 	if s.now == 0 {
-		s.startAt, s.takenFrom, s.askAt = now, now, now+int64(s.chance()*s.firstLookups())
+		s.startAt, s.acceptedFrom, s.lookupAt = now, now, now+int64(s.chance()*s.firstLookups())
 	}
 	s.now = now
 }
--- a/choice/wakeups.go
+++ b/choice/wakeups.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Which destinations a turn looks at.
+// Which destinations a turn processes.
 
-// wake has the coming turn look at a destination; wakeBy has it looked at by then.
+// wake has the coming turn process a destination; wakeBy has it processed by a time.
 func (s *Sender) wake(d *dst) { s.wakeBy(d, s.now) }
 
 func (s *Sender) wakeBy(d *dst, at int64) {
@@ -20,9 +20,9 @@
 	}
 }
 
-// awake takes out all that is to be looked at in this turn, in the fixed order. So a turn costs what it has to do, and not
-// a walk over all destinations.
-func (s *Sender) awake() (ds []*dst) {
+// dueDsts takes out all destinations to be processed in this turn, in the fixed order. So a turn costs what it has to do, not a scan of all
+// destinations.
+func (s *Sender) dueDsts() (ds []*dst) {
 	for len(s.wakes) > 0 && s.wakes[0].wakeAt <= s.now {
 		s.wake(s.wakes[0])
 	}
@@ -34,8 +34,8 @@
 	return ds
 }
 
-// keepBusy keeps the list of destinations with calls out.
-func (s *Sender) keepBusy(d *dst) {
+// updateBusy maintains the list of destinations with calls in flight.
+func (s *Sender) updateBusy(d *dst) {
 	i, is := slices.BinarySearchFunc(s.busy, d, func(a, b *dst) int { return int(a.number - b.number) })
 	switch {
 	case len(d.calls) > 0 && !is:
@@ -50,19 +50,19 @@
 	if len(s.expiry) > 0 {
 		at = s.expiry[0].giveUp
 	}
-	if s.allowed.Subscribe {
-		at = min(at, s.askAt)
+	if s.caps.Subscribe {
+		at = min(at, s.lookupAt)
 	}
 	if len(s.wakes) > 0 {
 		at = min(at, s.wakes[0].wakeAt)
 	}
-	// What this turn sent woke its destination: its next time to go is not known yet. With all slots in use they
-	// wait for an outcome, and a timer would ring again and again.
-	if len(s.due) > 0 && s.calls < s.room.Slots {
+	// A send of this turn woke its destination, whose next ready time is not known yet. With all slots in use the destinations wait for an
+	// outcome, and a timer would fire again and again.
+	if len(s.due) > 0 && s.calls < s.limits.MaxCalls {
 		at = s.now + 1
 	}
 	if at < s.timerAt && at < never {
 		s.timerAt = at
-		s.host.Timer(max(1, at-s.now), 0)
+		s.host.SetTimer(max(1, at-s.now), 0)
 	}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter lets the bench drive the decision module over standard input and output.
+// Command adapter runs the decision module for the bench, over standard input and output.
 package main
 
 import (
--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -24,19 +24,19 @@
 	"ravenlink/internal/lab/scenario"
 )
 
-// progress shows how far long work is, on a terminal only.
-func progress(errs io.Writer, whole int, what string) (done func(int), end func()) {
+// progress shows a progress bar if errs is a terminal.
+func progress(errs io.Writer, total int, what string) (done func(int), end func()) {
 	f, isFile := errs.(*os.File)
 	if !isFile || !term.IsTerminal(int(f.Fd())) {
 		return nil, func() {}
 	}
-	bar := progressbar.NewOptions(whole, progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription(what),
+	bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription(what),
 		progressbar.OptionShowCount(), progressbar.OptionClearOnFinish(), progressbar.OptionThrottle(100*time.Millisecond))
 	return func(n int) { _ = bar.Set(n) }, func() { _ = bar.Finish() }
 }
 
-// interruptible ends long work at Ctrl-C.
-func interruptible() (context.Context, context.CancelFunc) {
+// withInterrupt returns a context that ends on SIGINT or SIGTERM.
+func withInterrupt() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
@@ -48,7 +48,7 @@
 	)
 	c := &cobra.Command{
 		Use:     "sweep SCENARIO --set PATH=V1,V2,...",
-		Short:   "Play every place of a grid of settings",
+		Short:   "Simulate every cell of a grid of settings",
 		Example: "  ravenlab sweep scenarios/rainy-morning.toml --set team.senders=2,4,8 --set traffic.load=0.6,0.9 --seeds 8",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -57,36 +57,36 @@
 				return err
 			}
 			var axes []experiment.Axis
-			whole := seeds
+			total := seeds
 			for _, g := range grid {
 				path, values, ok := strings.Cut(g, "=")
 				if !ok || values == "" {
 					return fmt.Errorf("--set %s: write PATH=V1,V2,...", g)
 				}
 				axes = append(axes, experiment.Axis{Path: path, Values: strings.Split(values, ",")})
-				whole *= len(axes[len(axes)-1].Values)
+				total *= len(axes[len(axes)-1].Values)
 			}
-			ctx, stop := interruptible()
+			ctx, stop := withInterrupt()
 			defer stop()
-			done, end := progress(cmd.ErrOrStderr(), whole, "days")
+			done, end := progress(cmd.ErrOrStderr(), total, "days")
 			g, err := experiment.Sweep(ctx, &s, name, axes, seeds, done)
 			end()
 			if err != nil {
 				return err
 			}
 			printGrid(cmd.OutOrStdout(), g)
-			return maybeJSON(jsonTo, g)
+			return writeOptionalJSON(jsonTo, g)
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&name, "policy", "module", "what decides")
-	f.StringArrayVar(&grid, "set", nil, "a setting and the values it takes; may be repeated")
-	f.IntVar(&seeds, "seeds", 8, "days for each place")
-	f.StringVar(&jsonTo, "json", "", "write the grid there, for ravenlab report")
+	f.StringVar(&name, "policy", "module", "policy")
+	f.StringArrayVar(&grid, "set", nil, "a setting and its values; may be repeated")
+	f.IntVar(&seeds, "seeds", 8, "days per cell")
+	f.StringVar(&jsonTo, "json", "", "write the grid to this file, for ravenlab report")
 	return c
 }
 
-func maybeJSON(path string, v any) error {
+func writeOptionalJSON(path string, v any) error {
 	if path == "" {
 		return nil
 	}
@@ -107,7 +107,7 @@
 			fmt.Fprintf(w, "%s\t", v)
 		}
 		for _, m := range experiment.Metrics {
-			fmt.Fprintf(w, "%s\t", report.Plain(c.Figures[m.Name]))
+			fmt.Fprintf(w, "%s\t", report.FormatEstimate(c.Figures[m.Name]))
 		}
 		fmt.Fprintln(w)
 	}
@@ -122,15 +122,15 @@
 	)
 	c := &cobra.Command{
 		Use:     "compare SCENARIO --a POLICY --b POLICY",
-		Short:   "Play two policies on the same days, and say what differs",
+		Short:   "Simulate two policies on the same days and print the differences",
 		Example: "  ravenlab compare scenarios/rainy-morning.toml --a budget/least --b module --seeds 16",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := scenarioOf(args[0], sets)
+			s, err := readScenario(args[0], sets)
 			if err != nil {
 				return err
 			}
-			ctx, stop := interruptible()
+			ctx, stop := withInterrupt()
 			defer stop()
 			done, end := progress(cmd.ErrOrStderr(), 2*seeds, "days")
 			cmp, err := experiment.Compare(ctx, &s, a, b, seeds, done)
@@ -139,7 +139,7 @@
 				return err
 			}
 			printComparison(cmd.OutOrStdout(), cmp)
-			return maybeJSON(jsonTo, cmp)
+			return writeOptionalJSON(jsonTo, cmp)
 		},
 	}
 	f := c.Flags()
@@ -147,7 +147,7 @@
 	f.StringVar(&b, "b", "module", "the other")
 	f.IntVar(&seeds, "seeds", 16, "days")
 	f.StringArrayVar(&sets, "set", nil, "change a setting, as PATH=VALUE; may be repeated")
-	f.StringVar(&jsonTo, "json", "", "write the comparison there, for ravenlab report")
+	f.StringVar(&jsonTo, "json", "", "write the comparison to this file, for ravenlab report")
 	return c
 }
 
@@ -155,11 +155,11 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s, %d days\t%s\t%s\tdifference\t\n", c.Scenario, c.Seeds, c.A, c.B)
 	for _, d := range c.Figures {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", d.Metric, report.Plain(d.A), report.Plain(d.B), report.Plain(d.BLessA), d.Verdict(c.A, c.B))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", d.Metric, report.FormatEstimate(d.A), report.FormatEstimate(d.B), report.FormatEstimate(d.BMinusA), d.Verdict(c.A, c.B))
 	}
 	for _, rule := range rules.All {
-		if c.RulesA[rule]+c.RulesB[rule] > 0 {
-			fmt.Fprintf(w, "rule %s broken\t%d\t%d\t\t\n", rule, c.RulesA[rule], c.RulesB[rule])
+		if c.ViolationsA[rule]+c.ViolationsB[rule] > 0 {
+			fmt.Fprintf(w, "rule %s broken\t%d\t%d\t\t\n", rule, c.ViolationsA[rule], c.ViolationsB[rule])
 		}
 	}
 	_ = w.Flush()
@@ -172,7 +172,7 @@
 	)
 	c := &cobra.Command{
 		Use:     "table SCENARIO...",
-		Short:   "Play the module, every baseline and the bound on many scenarios, as a Markdown table",
+		Short:   "Simulate the module, every baseline and the bound on many scenarios and print a Markdown table",
 		Example: "  ravenlab table scenarios/*.toml --seeds 4",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -185,7 +185,7 @@
 				ss = append(ss, &s)
 			}
 			all := append([]string{policy.ModuleName, policy.BoundName}, policies...)
-			ctx, stop := interruptible()
+			ctx, stop := withInterrupt()
 			defer stop()
 			done, end := progress(cmd.ErrOrStderr(), len(ss)*len(all)*seeds, "days")
 			rows, err := experiment.Table(ctx, ss, all, seeds, done)
@@ -197,19 +197,19 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 4, "days of each")
-	c.Flags().StringSliceVar(&policies, "policies", policy.Baselines(), "what to set beside the module and the bound")
+	c.Flags().IntVar(&seeds, "seeds", 4, "days per scenario and policy")
+	c.Flags().StringSliceVar(&policies, "policies", policy.Baselines(), "policies to compare with the module and the bound")
 	return c
 }
 
-// printTable marks with * the policies that broke a rule, and with + those that served more than the module did.
+// printTable marks policies that broke a rule with *, and those with a significantly better service than the module with +.
 func printTable(out io.Writer, policies []string, rows []experiment.Row) {
 	fmt.Fprintf(out, "| scenario | %s |\n|---|%s\n", strings.Join(policies, " | "), strings.Repeat("---|", len(policies)))
 	for _, r := range rows {
 		fmt.Fprintf(out, "| %s |", r.Scenario)
 		for _, p := range policies {
 			mark := ""
-			if len(r.Rules[p]) > 0 {
+			if len(r.Violations[p]) > 0 {
 				mark = "*"
 			}
 			if d := r.Versus[p]; p != policy.ModuleName && d.Excludes(0) && d.Mean < 0 {
@@ -231,7 +231,7 @@
 	)
 	c := &cobra.Command{
 		Use:     "search SCENARIO",
-		Short:   "Look for a day that breaks a rule, or loses most, and make it small",
+		Short:   "Search for a day that breaks a rule or has the least service, and minimize it",
 		Example: "  ravenlab search scenarios/rainy-morning.toml --policy planted-wait --out found.toml\n  ravenlab search scenarios/rainy-morning.toml --loss --days 500",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -239,43 +239,43 @@
 			if err != nil {
 				return err
 			}
-			ctx, stop := interruptible()
+			ctx, stop := withInterrupt()
 			defer stop()
 			done, end := progress(cmd.ErrOrStderr(), days, "days tried")
-			goal := experiment.Goal{Rule: rules.Rule(rule), Loss: loss, Least: 0.02}
+			goal := experiment.Goal{Rule: rules.Rule(rule), WorstService: loss, ServiceMargin: 0.02}
 			f, err := experiment.Search(ctx, &s, name, goal, days, within, seed, done)
 			end()
 			if err != nil {
 				return err
 			}
-			return printFound(cmd.OutOrStdout(), f, to)
+			return printSearchResult(cmd.OutOrStdout(), f, to)
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&name, "policy", "module", "what decides")
+	f.StringVar(&name, "policy", "module", "policy")
 	f.StringVar(&rule, "rule", "", "only this rule: answer, effect, drain, return, order, wait")
-	f.BoolVar(&loss, "loss", false, "look for the day with least service instead")
-	f.IntVar(&days, "days", 2000, "days to try at most")
-	f.DurationVar(&within, "within", 2*time.Minute, "time to try at most, 0 for no bound")
+	f.BoolVar(&loss, "loss", false, "search for the day with the least service instead")
+	f.IntVar(&days, "days", 2000, "maximum number of days")
+	f.DurationVar(&within, "within", 2*time.Minute, "time limit, 0 for none")
 	f.Uint64Var(&seed, "seed", 1, "seed of the search")
-	f.StringVar(&to, "out", "", "write the day found there, as a scenario")
+	f.StringVar(&to, "out", "", "write the day found to this file, as a scenario")
 	return c
 }
 
-func printFound(out io.Writer, f *experiment.Found, to string) error {
+func printSearchResult(out io.Writer, f *experiment.SearchResult, to string) error {
 	if !f.Hit {
-		fmt.Fprintf(out, "no rule broken on %d days; least service %.4f\n", f.Tried, f.Result.Service)
+		fmt.Fprintf(out, "no rule broken on %d days; least service %.4f\n", f.DaysTried, f.Result.Service)
 		return nil
 	}
-	fmt.Fprintf(out, "found after %d days, made small in %d further: %d troubles of %d left, %v, seed %d, service %.4f\n", f.Tried, f.Shrunk,
-		len(f.Day.Troubles), f.Troubles, f.Day.Length, f.Result.Seed, f.Result.Service)
-	for _, t := range f.Day.Troubles {
-		fmt.Fprintln(out, " ", t)
+	fmt.Fprintf(out, "found after %d days, made small in %d further: %d troubles of %d left, %v, seed %d, service %.4f\n", f.DaysTried, f.ShrinkRuns,
+		len(f.Scenario.Faults), f.FaultsBeforeShrink, f.Scenario.Length, f.Result.Seed, f.Result.Service)
+	for _, fault := range f.Scenario.Faults {
+		fmt.Fprintln(out, " ", fault)
 	}
 	if to != "" {
-		f.Day.Name = strings.TrimSuffix(filepath.Base(to), ".toml")
-		f.Day.Shows = fmt.Sprintf("found by search; seed %d, policy %s", f.Result.Seed, f.Result.Policy)
-		text, err := f.Day.Encode()
+		f.Scenario.Name = strings.TrimSuffix(filepath.Base(to), ".toml")
+		f.Scenario.Description = fmt.Sprintf("found by search; seed %d, policy %s", f.Result.Seed, f.Result.Policy)
+		text, err := f.Scenario.Encode()
 		if err != nil {
 			return err
 		}
@@ -286,13 +286,13 @@
 	if f.Result.Broken == 0 {
 		return nil
 	}
-	return errors.Join(printBreaches(out, &f.Day, f.Result), errBroken)
+	return errors.Join(printViolations(out, &f.Scenario, f.Result), errRuleBroken)
 }
 
 func newReport() *cobra.Command {
 	return &cobra.Command{
 		Use:     "report DIR",
-		Short:   "Make one page with plots of all results in a folder, and the plots as pictures",
+		Short:   "Write a page with plots of all results in a directory, and each plot as an image",
 		Example: "  mkdir -p bin/report && ravenlab run scenarios/rainy-morning.toml --json bin/report/rainy.json\n  ravenlab report bin/report",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -308,14 +308,14 @@
 func newPolicies() *cobra.Command {
 	return &cobra.Command{
 		Use:     "policies",
-		Short:   "List what can decide",
+		Short:   "List the policies",
 		Example: "  ravenlab policies",
 		Args:    cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			for _, n := range policy.Names() {
 				fmt.Fprintln(cmd.OutOrStdout(), n)
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), "each but module and bound may be followed by /random, /robin, /least or /two")
+			fmt.Fprintln(cmd.OutOrStdout(), "each except module and bound may be followed by /random, /robin, /least or /two")
 		},
 	}
 }
--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -1,4 +1,4 @@
-// Command ravenlab is the laboratory: it plays scenarios in virtual time and compares what decides in them.
+// Command ravenlab simulates scenarios in virtual time and compares delivery policies.
 package main
 
 import (
--- a/cmd/ravenlab/root.go
+++ b/cmd/ravenlab/root.go
@@ -14,15 +14,15 @@
 	"ravenlink/internal/lab/world"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
-	exitOK     = 0
-	exitBad    = 1 // the command, a file or the machine
-	exitBroken = 3 // a rule was broken
+	exitOK         = 0
+	exitError      = 1 // invalid command or file, or a system error
+	exitRuleBroken = 3 // a rule was broken
 )
 
-// errBroken says that a run broke a rule; what and where has been printed.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken reports that a run broke a rule; the details have been printed.
+var errRuleBroken = errors.New("a rule was broken")
 
 func run(args []string, out, errs io.Writer) int {
 	root := newRoot(out, errs)
@@ -31,22 +31,22 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errRuleBroken):
 		fmt.Fprintln(errs, "ravenlab:", err)
-		return exitBroken
+		return exitRuleBroken
 	}
 	fmt.Fprintln(errs, "ravenlab:", strings.ReplaceAll(err.Error(), "\n", "\nravenlab: "))
-	return exitBad
+	return exitError
 }
 
 func newRoot(out, errs io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "ravenlab",
-		Short: "Play days of receivers, senders and clients in virtual time, and compare what decides in them",
-		Long: `ravenlab plays scenarios in virtual time: a model of receivers, clients, front, discovery and network,
-with the decision module, a baseline or a bound that sees everything deciding in each sender.
+		Short: "Simulate receivers, senders and clients in virtual time and compare delivery policies",
+		Long: `ravenlab simulates scenarios in virtual time: a model of receivers, clients, front, discovery and network.
+Each sender runs the decision module, a baseline policy or an upper bound with complete knowledge.
 
-The exit status is 0, 1 for a fault in the command or a file, 3 if a rule was broken.`,
+The exit status is 0, 1 for an invalid command or file, 3 if a rule was broken.`,
 		SilenceErrors: true, SilenceUsage: true,
 	}
 	root.SetOut(out)
@@ -55,8 +55,8 @@
 	return root
 }
 
-// scenarioOf reads the scenario that an argument names, with settings laid over it.
-func scenarioOf(path string, sets []string) (scenario.Scenario, error) {
+// readScenario reads a scenario file and applies settings to it.
+func readScenario(path string, sets []string) (scenario.Scenario, error) {
 	s, err := scenario.Read(path)
 	if err != nil {
 		return s, err
@@ -84,11 +84,11 @@
 	)
 	c := &cobra.Command{
 		Use:     "run SCENARIO",
-		Short:   "Play one day",
+		Short:   "Simulate one day",
 		Example: "  ravenlab run scenarios/rainy-morning.toml --seed 3\n  ravenlab run scenarios/rainy-morning.toml --policy backoff/two --json out/plain.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := scenarioOf(args[0], sets)
+			s, err := readScenario(args[0], sets)
 			if err != nil {
 				return err
 			}
@@ -105,19 +105,19 @@
 			if r.Broken == 0 || ignoreBroken {
 				return nil
 			}
-			if err := printBreaches(cmd.OutOrStdout(), &s, r); err != nil {
+			if err := printViolations(cmd.OutOrStdout(), &s, r); err != nil {
 				return err
 			}
-			return errBroken
+			return errRuleBroken
 		},
 	}
 	f := c.Flags()
 	f.Uint64Var(&seed, "seed", 1, "seed of the day")
-	f.StringVar(&policy, "policy", "module", "what decides; ravenlab policies lists them")
-	f.StringVar(&jsonTo, "json", "", "write the result there")
-	f.StringVar(&traceTo, "trace", "", "write all that happens there, a JSON object a line")
+	f.StringVar(&policy, "policy", "module", "policy; ravenlab policies lists them")
+	f.StringVar(&jsonTo, "json", "", "write the result to this file")
+	f.StringVar(&traceTo, "trace", "", "write all events to this file, one JSON object per line")
 	f.StringArrayVar(&sets, "set", nil, "change a setting, as PATH=VALUE; may be repeated")
-	f.BoolVar(&ignoreBroken, "broken-ok", false, "exit with 0 though a rule was broken")
+	f.BoolVar(&ignoreBroken, "broken-ok", false, "exit with 0 even if a rule was broken")
 	return c
 }
 
@@ -131,7 +131,7 @@
 		defer func() { err = errors.Join(err, f.Close()) }()
 		trace = world.NewTrace(f)
 	}
-	r, err = world.Play(s, seed, policy, trace)
+	r, err = world.Run(s, seed, policy, trace)
 	if err == nil && trace != nil {
 		err = trace.Close()
 	}
--- a/cmd/ravenlab/show.go
+++ b/cmd/ravenlab/show.go
@@ -20,11 +20,11 @@
 	row("service", "%.4f (worst 10 s %.3f)", r.Service, r.Worst)
 	row("messages", "%d asked, %d delivered, %d of them in time, %d pushed back, %d failed, %d left, %d lost with a sender",
 		r.Asked, r.Delivered, r.InTime, r.Ends["pushed back"], r.Ends["failed"], r.Ends["left"], r.Ends["lost"])
-	row("legs", "%d (%.2f a message), %d repeats, %d turned away, %d in error, %d timed out, %d reset, %d not connected", r.Legs, r.PerOrder,
-		r.Repeats, r.Outcomes["full"], r.Outcomes["errored"], r.Outcomes["timed out"], r.Outcomes["reset"], r.Outcomes["not connected"])
-	row("waste", "%.1f%% of the work done delivered nothing; %d probes, %d connections, %d pushed over", 100*r.Waste, r.Probes, r.Connections, r.Fell)
-	row("answers", "p50 %.0f ms, p90 %.0f, p99 %.0f, p99.9 %.0f", r.Answer.P50, r.Answer.P90, r.Answer.P99, r.Answer.P999)
-	row("undelivered", "told after p50 %.0f ms, p99 %.0f", r.Undone.P50, r.Undone.P99)
+	row("legs", "%d (%.2f a message), %d repeats, %d turned away, %d in error, %d timed out, %d reset, %d not connected", r.Legs, r.LegsPerMessage,
+		r.Retries, r.Outcomes["full"], r.Outcomes["errored"], r.Outcomes["timed out"], r.Outcomes["reset"], r.Outcomes["not connected"])
+	row("waste", "%.1f%% of the work done delivered nothing; %d probes, %d connections, %d pushed over", 100*r.Waste, r.Probes, r.Connections, r.Collapses)
+	row("answers", "p50 %.0f ms, p90 %.0f, p99 %.0f, p99.9 %.0f", r.DeliveryTimes.P50, r.DeliveryTimes.P90, r.DeliveryTimes.P99, r.DeliveryTimes.P999)
+	row("undelivered", "told after p50 %.0f ms, p99 %.0f", r.UndeliveredTimes.P50, r.UndeliveredTimes.P99)
 	row("events", "%d", r.Events)
 	for _, rule := range rules.All {
 		if n := r.Rules[rule]; n > 0 {
@@ -35,40 +35,40 @@
 }
 
 const (
-	before    = 10_000_000 // µs of a destination's events looked at before it was pushed over
-	linesMost = 60         // lines of a trace that are printed, the last ones; --trace has them all
+	traceLead     = 10_000_000 // µs of a destination's events that are printed before a violation
+	maxTraceLines = 60         // only the last lines of a trace are printed; --trace writes all
 )
 
-// tail keeps the last lines of a text.
+// tail returns the last maxTraceLines lines of a text.
 func tail(text []byte) []byte {
 	lines := bytes.SplitAfter(text, []byte("\n"))
-	return bytes.Join(lines[max(0, len(lines)-1-linesMost):], nil)
+	return bytes.Join(lines[max(0, len(lines)-1-maxTraceLines):], nil)
 }
 
-// printBreaches plays the day once more and prints what concerns the first breach of each rule.
-func printBreaches(out io.Writer, s *scenario.Scenario, r *world.Result) error {
+// printViolations simulates the day again for the first violation of each rule and prints the events that concern it.
+func printViolations(out io.Writer, s *scenario.Scenario, r *world.Result) error {
 	var shown []rules.Rule
-	for _, b := range r.Breaches {
-		if slices.Contains(shown, b.Rule) {
+	for _, v := range r.Violations {
+		if slices.Contains(shown, v.Rule) {
 			continue
 		}
-		shown = append(shown, b.Rule)
-		fmt.Fprintf(out, "\nrule %s, %.3f s: %s\n", b.Rule, float64(b.At-loop.Origin)/1e6, b.What)
+		shown = append(shown, v.Rule)
+		fmt.Fprintf(out, "\nrule %s, %.3f s: %s\n", v.Rule, float64(v.At-loop.Origin)/1e6, v.What)
 		var text bytes.Buffer
 		t := world.NewTrace(&text)
-		if b.Message != "" {
-			t.Message = b.Message
+		if v.Message != "" {
+			t.Message = v.Message
 		} else {
-			t.Dst, t.From, t.To = b.Dst, b.At-loop.Origin-before, b.At-loop.Origin
+			t.Dst, t.From, t.To = v.Dst, v.At-loop.Origin-traceLead, v.At-loop.Origin
 		}
-		if _, err := world.Play(s, r.Seed, r.Policy, t); err != nil {
+		if _, err := world.Run(s, r.Seed, r.Policy, t); err != nil {
 			return err
 		}
 		if err := t.Close(); err != nil {
 			return err
 		}
 		if _, err := out.Write(tail(text.Bytes())); err != nil {
-			return fmt.Errorf("breaches: %w", err)
+			return fmt.Errorf("print violations: %w", err)
 		}
 	}
 	return nil
--- a/cmd/ravenlink/kept.go
+++ b/cmd/ravenlink/kept.go
@@ -15,11 +15,11 @@
 	"ravenlink/internal/kept"
 )
 
-// newKept is what an operator does with kept messages. The store has one user at a time, so these want a stopped sender's folder.
-func newKept() *cobra.Command {
+// newKeptCommand returns the commands for dead letters. The store has a single user, so they need the state directory of a stopped sender.
+func newKeptCommand() *cobra.Command {
 	var dir string
-	c := &cobra.Command{Use: "kept", Short: "Look at kept messages of a stopped sender, hold, release or drop them"}
-	c.PersistentFlags().StringVar(&dir, "state", os.Getenv("RELAY_STATE"), "the sender's folder; else that of RELAY_STATE")
+	c := &cobra.Command{Use: "kept", Short: "List, show, hold, release or drop the kept messages of a stopped sender"}
+	c.PersistentFlags().StringVar(&dir, "state", os.Getenv("RELAY_STATE"), "state directory of the sender; default: RELAY_STATE")
 	with := func(do func(out io.Writer, s *keep.Store, args []string) error) func(*cobra.Command, []string) error {
 		return func(cmd *cobra.Command, args []string) (err error) {
 			if !keep.Exists(dir) {
@@ -34,16 +34,16 @@
 		}
 	}
 	c.AddCommand(keptList(with), keptShow(with),
-		&cobra.Command{Use: "stats", Short: "Count them", Args: cobra.NoArgs, RunE: with(func(out io.Writer, s *keep.Store, _ []string) error {
+		&cobra.Command{Use: "stats", Short: "Print counts of kept messages", Args: cobra.NoArgs, RunE: with(func(out io.Writer, s *keep.Store, _ []string) error {
 			st, err := s.Stats()
 			if err != nil {
 				return err
 			}
 			return json.NewEncoder(out).Encode(st)
 		})},
-		&cobra.Command{Use: "hold ID...", Short: "Have them wait for a person", Args: cobra.MinimumNArgs(1), RunE: with(turnAll(kept.Held, "held by a person"))},
+		&cobra.Command{Use: "hold ID...", Short: "Hold messages until they are released by hand", Args: cobra.MinimumNArgs(1), RunE: with(transitionAll(kept.Held, "held by a person"))},
 		keptRelease(with),
-		&cobra.Command{Use: "drop ID...", Short: "Forget them for good", Args: cobra.MinimumNArgs(1),
+		&cobra.Command{Use: "drop ID...", Short: "Delete messages permanently", Args: cobra.MinimumNArgs(1),
 			RunE: with(func(_ io.Writer, s *keep.Store, ids []string) error {
 				for _, id := range ids {
 					if err := s.Drop(id); err != nil {
@@ -55,12 +55,12 @@
 	return c
 }
 
-type withStore func(func(out io.Writer, s *keep.Store, args []string) error) func(*cobra.Command, []string) error
+type storeCommand func(func(out io.Writer, s *keep.Store, args []string) error) func(*cobra.Command, []string) error
 
-func turnAll(to kept.State, why string) func(io.Writer, *keep.Store, []string) error {
+func transitionAll(to kept.State, why string) func(io.Writer, *keep.Store, []string) error {
 	return func(_ io.Writer, s *keep.Store, ids []string) error {
 		for _, id := range ids {
-			if err := s.Change(id, func(r *kept.Record) error { return r.Turn(to, time.Now().UnixMicro(), why) }); err != nil {
+			if err := s.Update(id, func(r *kept.Record) error { return r.Transition(to, time.Now().UnixMicro(), why) }); err != nil {
 				return err
 			}
 		}
@@ -68,19 +68,19 @@
 	}
 }
 
-// keptRelease wants a person's word for each that may have run.
-func keptRelease(with withStore) *cobra.Command {
+// keptRelease requires --may-have-run for messages that may have run.
+func keptRelease(with storeCommand) *cobra.Command {
 	var mayHaveRun bool
-	c := &cobra.Command{Use: "release ID...", Short: "Have the rules decide on them again", Example: "  ravenlink kept release 7f3a9c21 --may-have-run",
+	c := &cobra.Command{Use: "release ID...", Short: "Return messages to the rules", Example: "  ravenlink kept release 7f3a9c21 --may-have-run",
 		Args: cobra.MinimumNArgs(1),
 		RunE: with(func(_ io.Writer, s *keep.Store, ids []string) error {
 			for _, id := range ids {
-				err := s.Change(id, func(r *kept.Record) error {
+				err := s.Update(id, func(r *kept.Record) error {
 					if r.MayHaveRun() && !mayHaveRun {
 						return fmt.Errorf("message %s may have run: a second effect is yours to answer for; say --may-have-run", id)
 					}
-					r.Cleared = r.MayHaveRun()
-					return r.Turn(kept.Waiting, time.Now().UnixMicro(), "released by a person")
+					r.ResendApproved = r.MayHaveRun()
+					return r.Transition(kept.Waiting, time.Now().UnixMicro(), "released by a person")
 				})
 				if err != nil {
 					return err
@@ -88,32 +88,32 @@
 			}
 			return nil
 		})}
-	c.Flags().BoolVar(&mayHaveRun, "may-have-run", false, "they may go out again though they may have had their effect")
+	c.Flags().BoolVar(&mayHaveRun, "may-have-run", false, "resend messages even if they may already have had their effect")
 	return c
 }
 
-func keptList(with withStore) *cobra.Command {
+func keptList(with storeCommand) *cobra.Command {
 	var (
-		lane, state string
-		dst         int64
-		asJSON      bool
+		class, state string
+		destination  int64
+		asJSON       bool
 	)
-	c := &cobra.Command{Use: "list", Short: "List them, those kept first first", Example: "  ravenlink kept list --state-is held --lane work-order", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "list", Short: "List kept messages, oldest first", Example: "  ravenlink kept list --state-is held --lane work-order", Args: cobra.NoArgs,
 		RunE: with(func(out io.Writer, s *keep.Store, _ []string) error {
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			if !asJSON {
 				fmt.Fprintln(w, "id\tlane\tdestination\tkept\tend\tmay have run\tstate\tsent as")
 			}
-			want := func(r *kept.Record) bool {
-				return (lane == "" || r.Lane == lane) && (state == "" || string(r.State) == state) && (dst < 0 || r.Dst == dst)
+			match := func(r *kept.Record) bool {
+				return (class == "" || r.Class == class) && (state == "" || string(r.State) == state) && (destination < 0 || r.Dst == destination)
 			}
 			for from := []byte(nil); ; {
-				rs, next, err := s.Page(from, want)
+				rs, next, err := s.Page(from, match)
 				if err != nil {
 					return err
 				}
 				for _, r := range rs {
-					if err := listOne(out, w, r, asJSON); err != nil {
+					if err := printRecord(out, w, r, asJSON); err != nil {
 						return err
 					}
 				}
@@ -122,31 +122,31 @@
 				}
 			}
 		})}
-	c.Flags().StringVar(&lane, "lane", "", "only of this lane")
-	c.Flags().StringVar(&state, "state-is", "", "only in this state: waiting, held, intended, sent, done, followed")
-	c.Flags().Int64Var(&dst, "destination", -1, "only for this destination")
-	c.Flags().BoolVar(&asJSON, "json", false, "whole records, a JSON object a line")
+	c.Flags().StringVar(&class, "lane", "", "only messages of this lane")
+	c.Flags().StringVar(&state, "state-is", "", "only messages in this state: waiting, held, intended, sent, done, followed")
+	c.Flags().Int64Var(&destination, "destination", -1, "only messages for this destination")
+	c.Flags().BoolVar(&asJSON, "json", false, "complete records, one JSON object per line")
 	return c
 }
 
-func listOne(out io.Writer, w *tabwriter.Writer, r *kept.Record, asJSON bool) error {
+func printRecord(out io.Writer, w *tabwriter.Writer, r *kept.Record, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(r)
 	}
 	end, ran := "failed", "no"
-	if r.PushedBack {
+	if r.Rejected {
 		end = "pushed back"
 	}
 	if r.MayHaveRun() {
 		ran = "yes"
 	}
-	_, err := fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Lane, r.Dst, time.UnixMicro(r.KeptAt).UTC().Format(time.RFC3339), end, ran,
-		r.State, r.SentAs)
+	_, err := fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Class, r.Dst, time.UnixMicro(r.StoredAt).UTC().Format(time.RFC3339), end, ran,
+		r.State, r.ResentAs)
 	return err
 }
 
-func keptShow(with withStore) *cobra.Command {
-	return &cobra.Command{Use: "show ID", Short: "Tell one's whole story", Args: cobra.ExactArgs(1),
+func keptShow(with storeCommand) *cobra.Command {
+	return &cobra.Command{Use: "show ID", Short: "Show the complete record of a message", Args: cobra.ExactArgs(1),
 		RunE: with(func(out io.Writer, s *keep.Store, args []string) error {
 			r, err := s.Get(args[0])
 			if err != nil {
--- a/cmd/ravenlink/main.go
+++ b/cmd/ravenlink/main.go
@@ -1,4 +1,4 @@
-// Command ravenlink is one sender: it takes messages from clients and hands them on to receivers.
+// Command ravenlink runs a sender, which accepts messages from clients and delivers them to receivers.
 package main
 
 import "os"
--- a/cmd/ravenlink/main_test.go
+++ b/cmd/ravenlink/main_test.go
@@ -14,15 +14,15 @@
 	"ravenlink/internal/kept"
 )
 
-const good = `{
+const validStart = `{
  "discovery": "127.0.0.1:8500",
  "limits": {"cores": 1, "memory_mb": 64},
  "known": {"members": [{"id": "a", "host_port": "127.0.0.1:1", "phase": "SERVING"}]},
  "settings": {"classes": [{"name": "n", "deadline": 8000, "repeat": "by_key", "window": 9000}]}
 }`
 
-// checked runs check on a start file and an operator's file, each written out, and gives what it prints.
-func checked(t *testing.T, start, operators string) (status int, out string) {
+// runCheck writes a start file and an operator's file, runs check on them and returns its status and output.
+func runCheck(t *testing.T, start, operators string) (status int, out string) {
 	t.Helper()
 	dir := t.TempDir()
 	put := func(name, text string) string {
@@ -44,8 +44,8 @@
 	return status, strings.ReplaceAll(o.String(), dir+"/", "")
 }
 
-func TestEachFaultOfAStartFileIsNamedAtItsPlace(t *testing.T) {
-	status, out := checked(t, good, "")
+func TestStartFileFaultsNameTheirLocation(t *testing.T) {
+	status, out := runCheck(t, validStart, "")
 	assert.Equal(t, exitOK, status, out)
 	for _, c := range []struct{ from, to, says string }{
 		{`"cores": 1,`, `"cores": 1`, "start.json:3:24: "},
@@ -61,17 +61,17 @@
 		{`"discovery": "127.0.0.1:8500",`, "", "start.json:1:1: discovery: neither"},
 		{`"memory_mb": 64`, `"memory_mb": 0`, "start.json:3:38: limits.memory_mb"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		require.NotEqual(t, good, text)
-		status, out := checked(t, text, "")
-		assert.Equal(t, exitFault, status, c.to)
+		text := strings.Replace(validStart, c.from, c.to, 1)
+		require.NotEqual(t, validStart, text)
+		status, out := runCheck(t, text, "")
+		assert.Equal(t, exitFaults, status, c.to)
 		assert.True(t, strings.HasPrefix(out, c.says), "%s\nsays %s", c.says, out)
 	}
 }
 
 // What the tables of an operator's file ask for is held against the limits of the start file.
 func TestTablesAreHeldAgainstTheStartFile(t *testing.T) {
-	start := strings.Replace(good, `"memory_mb": 64`, `"memory_mb": 64, "disk_mb": 100`, 1)
+	start := strings.Replace(validStart, `"memory_mb": 64`, `"memory_mb": 64, "disk_mb": 100`, 1)
 	const fleet = "version = 1\n[fleet]\nname = \"f\"\nself = \"a\"\nlisten = \"127.0.0.1:7\"\n"
 	for _, c := range []struct{ text, says string }{
 		{"version = 1\n[backlog]\n", "no faults"},
@@ -84,14 +84,14 @@
 		{fleet + "most_mb = 10\n", "no faults"},
 		{fleet + "most_mb = 11\n", "op.toml:6:1: fleet.most_mb: 11 MB do not fit: the spool leaves 10.00 MB of limits.disk_mb"},
 	} {
-		status, out := checked(t, start, c.text)
+		status, out := runCheck(t, start, c.text)
 		assert.Equal(t, c.says == "no faults", status == exitOK, out)
 		assert.Equal(t, c.says+"\n", out)
 	}
 }
 
 func TestEachFaultOfAnOperatorsFileIsNamedAtItsPlace(t *testing.T) {
-	status, out := checked(t, good, "version = 1\n[log]\nlevel = \"warn\"\nparts = { module = \"debug\" }\n")
+	status, out := runCheck(t, validStart, "version = 1\n[log]\nlevel = \"warn\"\nparts = { module = \"debug\" }\n")
 	assert.Equal(t, exitOK, status, out)
 	for _, c := range []struct{ text, says string }{
 		{"version = 2\n", "op.toml:1:1: version: this form is version 1, not 2"},
@@ -107,20 +107,20 @@
 		{"version = 1\n[kept]\n[[kept.rule]]\nact = \"hold\"\n[[kept.rule]]\nact = \"send\"\nhours = \"noon\"\n", "op.toml:7:1: kept.rule.1.hours: "},
 		{"version = 1\n[kept]\nmost_mb = 0.01\n", "op.toml:3:1: kept.most_mb: "},
 	} {
-		status, out := checked(t, good, c.text)
-		assert.Equal(t, exitFault, status, c.text)
+		status, out := runCheck(t, validStart, c.text)
+		assert.Equal(t, exitFaults, status, c.text)
 		assert.True(t, strings.HasPrefix(out, c.says), "%s\nsays %s", c.says, out)
 	}
-	status, out = checked(t, strings.Replace(good, "8000", "0", 1), "version = 1\n[log]\nlevel = \"loud\"\n")
-	assert.Equal(t, exitFault, status)
+	status, out = runCheck(t, strings.Replace(validStart, "8000", "0", 1), "version = 1\n[log]\nlevel = \"loud\"\n")
+	assert.Equal(t, exitFaults, status)
 	assert.Equal(t, 2, strings.Count(out, "\n"), "all faults of both files at once: %s", out)
 }
 
-func TestAStartThatCannotBeIsOnePlainLine(t *testing.T) {
+func TestFailedStartPrintsOneLine(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", "")
 	for _, args := range [][]string{nil, {"serve"}, {"serve", "--operator", "nowhere.toml"}, {"fly"}} {
 		var o, e bytes.Buffer
-		assert.Equal(t, exitBad, run(args, &o, &e), args)
+		assert.Equal(t, exitError, run(args, &o, &e), args)
 		assert.Equal(t, 1, strings.Count(e.String(), "\n"), e.String())
 		assert.True(t, strings.HasPrefix(e.String(), "ravenlink: "))
 	}
@@ -129,7 +129,7 @@
 	assert.Contains(t, o.String(), "ravenlink")
 }
 
-func TestKeptMessagesOfAStoppedSenderAreLookedAt(t *testing.T) {
+func TestKeptCommandsOnAStoppedSender(t *testing.T) {
 	dir := t.TempDir()
 	do := func(args ...string) (int, string) {
 		var o, e bytes.Buffer
@@ -137,15 +137,15 @@
 		return status, o.String() + e.String()
 	}
 	status, out := do("list")
-	assert.Equal(t, exitBad, status)
+	assert.Equal(t, exitError, status)
 	assert.Contains(t, out, "no kept messages")
 	s, err := keep.Open(dir, 0, 0)
 	require.NoError(t, err)
-	_, err = s.Keep([]*kept.Record{kept.New("a", "order", 7, "k", "", []byte("x"), 5, false, 0, []kept.Leg{{At: 3}}, nil),
+	_, err = s.Add([]*kept.Record{kept.New("a", "order", 7, "k", "", []byte("x"), 5, false, 0, []kept.Leg{{At: 3}}, nil),
 		kept.New("b", "note", 8, "", "", nil, 6, true, 0, nil, nil)}, 6)
 	require.NoError(t, err)
 	status, out = do("stats")
-	assert.Equal(t, exitBad, status, "a running sender has it")
+	assert.Equal(t, exitError, status, "a running sender has it")
 	assert.Contains(t, out, "in use by a running sender")
 	require.NoError(t, s.Close())
 	_, out = do("list")
@@ -157,10 +157,10 @@
 	_, out = do("show", "a")
 	assert.Contains(t, out, "held by a person")
 	status, out = do("hold", "a")
-	assert.Equal(t, exitBad, status)
+	assert.Equal(t, exitError, status)
 	assert.Contains(t, out, "does not become")
 	status, out = do("release", "a")
-	assert.Equal(t, exitBad, status)
+	assert.Equal(t, exitError, status)
 	assert.Contains(t, out, "say --may-have-run")
 	status, _ = do("release", "a", "--may-have-run")
 	assert.Equal(t, exitOK, status)
--- a/cmd/ravenlink/root.go
+++ b/cmd/ravenlink/root.go
@@ -15,11 +15,11 @@
 	"ravenlink/internal/startup"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
-	exitOK    = 0
-	exitBad   = 1 // a start that cannot be, or a command that is off
-	exitFault = 2 // check found faults
+	exitOK     = 0
+	exitError  = 1 // failed start or invalid command
+	exitFaults = 2 // check found faults
 )
 
 var errFaults = errors.New("faults found")
@@ -32,10 +32,10 @@
 	case err == nil:
 		return exitOK
 	case errors.Is(err, errFaults):
-		return exitFault
+		return exitFaults
 	}
 	fmt.Fprintln(errs, "ravenlink:", strings.ReplaceAll(err.Error(), "\n", "; "))
-	return exitBad
+	return exitError
 }
 
 func newRoot(out, errs io.Writer) *cobra.Command {
@@ -43,33 +43,33 @@
 	serve := func(*cobra.Command, []string) error { return daemon.Serve(os.Getenv, operatorFile) }
 	root := &cobra.Command{
 		Use:   "ravenlink",
-		Short: "Hand messages on to destinations nobody here controls",
+		Short: "Relay messages to destinations outside your control",
 		Long: `ravenlink is one sender. Without a command it serves, as ravenlink serve does.
 
-The exit status is 0, 1 for a start that cannot be or a command that is off, 2 if check found faults.`,
+The exit status is 0, 1 for a failed start or an invalid command, 2 if check found faults.`,
 		Args: cobra.NoArgs, RunE: serve, SilenceErrors: true, SilenceUsage: true,
 	}
 	root.SetOut(out)
 	root.SetErr(errs)
 	root.PersistentFlags().StringVar(&operatorFile, "operator", "", "the operator's file, such as deploy/ravenlink.toml")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Take messages and hand them on, until SIGTERM", Example: "  ravenlink serve --operator deploy/ravenlink.toml",
+		&cobra.Command{Use: "serve", Short: "Accept messages and deliver them, until SIGTERM", Example: "  ravenlink serve --operator deploy/ravenlink.toml",
 			Args: cobra.NoArgs, RunE: serve},
-		&cobra.Command{Use: "check", Short: "Name every fault of the start file and the operator's file",
+		&cobra.Command{Use: "check", Short: "Report every fault of the start file and the operator's file",
 			Example: "  RELAY_CONFIG=examples/config.json ravenlink check --operator deploy/ravenlink.toml", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error { return check(cmd.OutOrStdout(), os.Getenv, operatorFile) }},
-		&cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
+		&cobra.Command{Use: "version", Short: "Print the version of the build", Args: cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version()) }},
-		newKept(),
+		newKeptCommand(),
 	)
 	return root
 }
 
-// check prints each fault on a line of its own.
+// check prints each fault on its own line.
 func check(out io.Writer, env func(string) string, operatorFile string) error {
 	faults := startup.Check(env)
 	if operatorFile != "" {
-		if err := operated(env, operatorFile); err != nil {
+		if err := checkOperatorFile(env, operatorFile); err != nil {
 			faults = append(faults, err)
 		}
 	}
@@ -83,20 +83,20 @@
 	return errFaults
 }
 
-// operated checks the operator's file, also against the limits of the start file where that can be read.
-func operated(env func(string) string, operatorFile string) error {
+// checkOperatorFile checks the operator's file, also against the limits of the start file if that can be read.
+func checkOperatorFile(env func(string) string, operatorFile string) error {
 	c, err := startup.Read(env)
 	if err != nil {
 		_, err = operator.Read(operatorFile)
 		return err
 	}
-	return operator.Fit(operatorFile, operator.Limits{Disk: startup.Disk(c), Spool: startup.SpoolRoom(c), Memory: startup.Memory(c)})
+	return operator.CheckFits(operatorFile, operator.Limits{Disk: startup.MaxDiskBytes(c), Spool: startup.MaxSpoolBytes(c), Memory: startup.MaxMemoryBytes(c)})
 }
 
 func version() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
-		return "ravenlink, of an unknown build"
+		return "ravenlink, unknown build"
 	}
 	text := "ravenlink " + info.Main.Version + " " + info.GoVersion
 	for _, s := range info.Settings {
