--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -1,4 +1,4 @@
-// Package daemon is one sender's process: it joins the parts and takes them through its phases.
+// Package daemon implements the process of a sender: it assembles the subsystems and runs them through the process phases.
 package daemon
 
 import (
@@ -29,7 +29,7 @@
 
 type phase uint8
 
-// The program's phases, from start to exit.
+// Phases of the process, from start to exit.
 const (
 	starting phase = iota
 	recovering
@@ -43,115 +43,115 @@
 }
 
 const (
-	memoryShare = 0.7                     // of the limit, for the Go heap; the rest is files, stacks and sockets
-	listPart    = 4                       // of the memory limit, one in so many is for the members of a list while it is read
-	clientPart  = 2                       // of the descriptors, one in so many is for clients
-	callPart    = 3                       // and one in so many for receivers; the rest is reserve
-	idleShare   = 0.8                     // of the told idle time; older connections are not used
-	doorsOpen   = 600 * time.Millisecond  // after SIGTERM: new connections come for a while
-	picksEnd    = 2400 * time.Millisecond // after SIGTERM: no leg starts later
-	drainEnd    = 3300 * time.Millisecond // after SIGTERM: we are gone before we are killed
-	firstList   = 300 * time.Millisecond  // the agent answers at once, or discovery is down; clients wait a little longer for their answers
-	glance      = 20 * time.Millisecond   // between looks whether all is done
-	tallyEvery  = 10 * time.Second        // between lines of counts
+	heapShare             = 0.7                     // of the memory limit, for the Go heap; the rest is for files, stacks and sockets
+	listMemoryDivisor     = 4                       // this fraction of the memory limit is for the members of a list while it is read
+	clientSocketDivisor   = 2                       // this fraction of the descriptors is for clients
+	receiverSocketDivisor = 3                       // this fraction is for receivers; the rest is reserve
+	idleTimeoutShare      = 0.8                     // of the configured idle timeout; connections idle for longer are not reused
+	acceptPeriod          = 600 * time.Millisecond  // after the drain begins: new connections are still accepted
+	legStartDeadline      = 2400 * time.Millisecond // after SIGTERM: no leg starts later
+	drainDeadline         = 3300 * time.Millisecond // after SIGTERM: the process exits before SIGKILL
+	firstListTimeout      = 300 * time.Millisecond  // the agent replies at once unless discovery is down; clients wait slightly longer for their replies
+	pollInterval          = 20 * time.Millisecond   // between checks of a wait condition
+	statsInterval         = 10 * time.Second        // between log lines with the counters
 )
 
-// Program is one sender's process.
+// Program is the process of one sender.
 type Program struct {
-	log      *zap.Logger
-	env      func(string) string
-	reload   <-chan os.Signal
-	agent    *platform.Agent
-	levels   *levels // nil without an operator's file
-	opFile   string
-	keeper   *keep.Keeper   // nil where nothing is kept
-	fleet    *fleet.Runtime // nil where this sender decides alone
-	eraser   *eraser        // nil where it takes no orders
-	rests    *backlog.Table // nil where the backlog is off; as the file has it
-	ordered  *ordered.Host  // nil where there are no channels
-	phase    phase          // changes in enter only
-	clock    relay.Clock
-	state    string // the folder that lasts
-	disk     int64  // bytes that it may hold,
-	room     int64  // and of them the spool
-	settings gjson.Result
-	spool    *spool.Spool
-	router   *routing.Router
-	pool     *transport.Pool
-	server   *transport.Server
-	notes    *transport.Datagrams // nil where senders may not write to one another
+	log           *zap.Logger
+	env           func(string) string
+	reload        <-chan os.Signal
+	agent         *platform.Agent
+	levels        *levels // nil without an operator's file
+	operatorFile  string
+	resender      *keep.Resender // nil if dead letters are not stored
+	fleet         *fleet.Runtime // nil if the sender is not in a fleet
+	eraser        *eraser        // nil if the sender takes no orders
+	backlogTable  *backlog.Table // as in the file; nil if the backlog is off
+	ordered       *ordered.Host  // nil if channels are off
+	phase         phase          // only changed by enter
+	clock         relay.Clock
+	stateDir      string // persistent
+	maxDiskBytes  int64  // limit of stateDir
+	maxSpoolBytes int64  // part of maxDiskBytes for the spool
+	settings      gjson.Result
+	spool         *spool.Spool
+	router        *routing.Router
+	pool          *transport.Pool
+	server        *transport.Server
+	datagrams     *transport.Datagrams // nil if notes between senders are not allowed
 
 	engine    *relay.Engine
-	front     *platform.Front
-	calls     *platform.Calls
+	frontend  *platform.Frontend
+	caller    *platform.Caller
 	notices   *platform.Notices
 	discovery *platform.Discovery
 
-	probeFor time.Duration // how long a probe may take
-	listWait time.Duration // for the first list, before anything is sent
-	probes   atomic.Int64
-	work     sync.WaitGroup
+	probeTimeout     time.Duration // timeout of a probe
+	firstListTimeout time.Duration // how long to wait for the first list before legs start
+	probes           atomic.Int64
+	workers          sync.WaitGroup
 }
 
-// enter is the one place where the phase changes.
+// enter changes the phase.
 func (p *Program) enter(next phase) {
 	p.log.Info("phase", zap.Stringer("from", p.phase), zap.Stringer("to", next))
 	p.phase = next
 }
 
-// New reads the start file and opens all that a sender needs before it serves, with a backlog where there is a table of one.
-func New(env func(string) string, log *zap.Logger, reload <-chan os.Signal, rests *backlog.Table) (*Program, error) {
-	c, err := startup.Read(env)
+// New reads the start file and opens everything that a sender needs before it serves. The backlog is on if it has a table.
+func New(env func(string) string, log *zap.Logger, reload <-chan os.Signal, backlogTable *backlog.Table) (*Program, error) {
+	config, err := startup.Read(env)
 	if err != nil {
 		return nil, err
 	}
-	runtime.GOMAXPROCS(startup.Cores(c))
-	debug.SetMemoryLimit(int64(memoryShare * float64(startup.Memory(c))))
-	listen, discoveryAt := startup.Addresses(env, c)
-	p := &Program{log: log.With(zap.String("sender", startup.Name(c))), env: env, reload: reload, agent: platform.NewAgent(discoveryAt),
-		clock: relay.NewClock(), listWait: firstList}
-	rests = p.fits(rests, startup.SpoolRoom(c), startup.Memory(c))
-	if err := p.openSpool(startup.StateDir(env), startup.SpoolRoom(c), rests); err != nil {
+	runtime.GOMAXPROCS(startup.Cores(config))
+	debug.SetMemoryLimit(int64(heapShare * float64(startup.MaxMemoryBytes(config))))
+	listenAddr, discoveryAddr := startup.Addresses(env, config)
+	p := &Program{log: log.With(zap.String("sender", startup.SenderName(config))), env: env, reload: reload, agent: platform.NewAgent(discoveryAddr),
+		clock: relay.NewClock(), firstListTimeout: firstListTimeout}
+	backlogTable = p.fitBacklog(backlogTable, startup.MaxSpoolBytes(config), startup.MaxMemoryBytes(config))
+	if err := p.openSpool(startup.StateDir(env), startup.MaxSpoolBytes(config), backlogTable); err != nil {
 		return nil, err
 	}
-	settings := startup.Module(c)
-	p.settings, p.state, p.disk, p.room = settings, startup.StateDir(env), startup.Disk(c), startup.SpoolRoom(c)
-	up, idle := startup.Connections(settings)
-	p.pool = transport.NewPool(up, time.Duration(idleShare*float64(idle)), startup.Sockets(c)/callPart)
-	module := part(p.log, "module")
-	p.router = routing.New(startup.Seed(c), settings, p.clock.Now, p.pool.CloseIdle, func(text string) { module.Info(text) })
-	p.probeFor = up
-	_, probeLoad := startup.Reports(settings)
-	p.calls = platform.NewCalls(p.pool, p.clock, p.router, probeLoad)
-	p.engine = relay.New(part(p.log, "messages"), p.clock, p.router, p.spool, p.calls)
-	p.notices = platform.NewNotices(part(p.log, "notices"), p.agent, up, p.told)
-	p.engine.Tell(p.notices)
-	if rests != nil {
-		p.engine.Rest(bounds(settings, rests), startup.KeepsOrder(settings), p.notices.Owed)
+	settings := startup.ModuleSettings(config)
+	p.settings, p.stateDir, p.maxDiskBytes, p.maxSpoolBytes = settings, startup.StateDir(env), startup.MaxDiskBytes(config), startup.MaxSpoolBytes(config)
+	connectTimeout, idleTimeout := startup.ConnTimeouts(settings)
+	p.pool = transport.NewPool(connectTimeout, time.Duration(idleTimeoutShare*float64(idleTimeout)), startup.MaxSockets(config)/receiverSocketDivisor)
+	moduleLog := withPart(p.log, "module")
+	p.router = routing.New(startup.Seed(config), settings, p.clock.Now, p.pool.CloseIdle, func(text string) { moduleLog.Info(text) })
+	p.probeTimeout = connectTimeout
+	_, probeLoad := startup.LoadReports(settings)
+	p.caller = platform.NewCaller(p.pool, p.clock, p.router, probeLoad)
+	p.engine = relay.New(withPart(p.log, "messages"), p.clock, p.router, p.spool, p.caller)
+	p.notices = platform.NewNotices(withPart(p.log, "notices"), p.agent, connectTimeout, p.onNoticesDelivered)
+	p.engine.SetNotifier(p.notices)
+	if backlogTable != nil {
+		p.engine.EnableBacklog(backlogLimits(settings, backlogTable), startup.HasOrderedClass(settings), p.notices.Pending)
 	}
-	p.discovery = platform.NewDiscovery(part(p.log, "discovery"), p.router, p.agent, up, startup.Subscribes(settings),
-		startup.Memory(c)/listPart)
-	p.coldBefore()
-	if err := p.discovery.Known(startup.Known(c)); err != nil {
+	p.discovery = platform.NewDiscovery(withPart(p.log, "discovery"), p.router, p.agent, connectTimeout, startup.NeedsSubscription(settings),
+		startup.MaxMemoryBytes(config)/listMemoryDivisor)
+	p.restoreCold()
+	if err := p.discovery.LoadKnown(startup.KnownReceivers(config)); err != nil {
 		return nil, err
 	}
-	if startup.Notes(settings) {
-		own, all, each := startup.Fellows(c)
-		if p.notes, err = transport.OpenDatagrams(own, all, each); err != nil {
+	if startup.PeerNotesAllowed(settings) {
+		own, all, each := startup.PeerAddrs(config)
+		if p.datagrams, err = transport.OpenDatagrams(own, all, each); err != nil {
 			return nil, err
 		}
 	}
-	p.front = platform.NewFront(part(p.log, "clients"), p.engine)
-	p.server, err = transport.Listen(listen, startup.Sockets(c)/clientPart, p.front.Serve)
+	p.frontend = platform.NewFrontend(withPart(p.log, "clients"), p.engine)
+	p.server, err = transport.Listen(listenAddr, startup.MaxSockets(config)/clientSocketDivisor, p.frontend.Serve)
 	return p, err
 }
 
-func (p *Program) openSpool(dir string, room int64, rests *backlog.Table) error {
+func (p *Program) openSpool(dir string, maxBytes int64, backlogTable *backlog.Table) error {
 	open := spool.Open
-	if rests != nil {
-		open, room = spool.OpenBacklog, rests.Bytes()
+	if backlogTable != nil {
+		open, maxBytes = spool.OpenBacklog, backlogTable.Bytes()
 	}
-	s, notes, err := open(dir, room)
+	s, notes, err := open(dir, maxBytes)
 	for _, n := range notes {
 		p.log.Warn("spool", zap.String("note", n))
 	}
@@ -159,152 +159,153 @@
 	return err
 }
 
-// Run takes the program through its phases; ending ctx drains it.
+// Run runs the process through its phases until it has drained, which the end of ctx starts.
 func (p *Program) Run(ctx context.Context) error {
-	picking, stopPicking := context.WithCancel(context.Background())
-	working, stopWorking := context.WithCancel(context.Background())
-	defer stopWorking()
-	defer stopPicking()
-	asked := make(chan time.Time, 1) // to end; SIGKILL follows by that time, also where it came before serving
-	defer context.AfterFunc(ctx, func() { asked <- time.Now() })()
-	p.engine.Begin(picking, working)
+	legsCtx, stopLegs := context.WithCancel(context.Background())
+	workCtx, stopWork := context.WithCancel(context.Background())
+	defer stopWork()
+	defer stopLegs()
+	shutdownAt := make(chan time.Time, 1) // SIGKILL follows relative to this time, also if shutdown was requested before serving
+	defer context.AfterFunc(ctx, func() { shutdownAt <- time.Now() })()
+	p.engine.SetContexts(legsCtx, workCtx)
 	p.enter(recovering)
 	if p.fleet != nil {
-		p.goWork(func() { p.fleet.Run(picking) }) // it gives back what was lent as soon as no leg may begin
+		p.goWorker(func() { p.fleet.Run(legsCtx) }) // returns leased shares as soon as no leg may start
 	}
-	p.start(working)
-	p.engine.Load() // what rests is watched from here on
-	p.discovery.Heard(p.listWait)
+	p.startWorkers(workCtx)
+	p.engine.StartLoader() // spilled messages are loaded and expire from here on
+	p.discovery.WaitFirstList(p.firstListTimeout)
 	if p.eraser != nil {
-		p.eraser.await()
+		p.eraser.awaitFences()
 	}
-	p.recover(picking)
+	p.recoverPending(legsCtx)
 	p.engine.Run()
-	if p.keeper != nil {
-		p.goWork(func() { p.keeper.Run(picking) })
+	if p.resender != nil {
+		p.goWorker(func() { p.resender.Run(legsCtx) })
 	}
 	p.enter(serving)
-	p.goWork(func() {
-		if err := p.server.Serve(working); err != nil {
+	p.goWorker(func() {
+		if err := p.server.Serve(workCtx); err != nil {
 			p.log.Error("clients", zap.Error(err))
 		}
 	})
 	<-ctx.Done()
 	p.enter(draining)
-	p.drain(<-asked, stopPicking)
-	stopPicking()
-	stopWorking()
+	p.drain(<-shutdownAt, stopLegs)
+	stopLegs()
+	stopWork()
 	p.close()
 	p.enter(stopped)
-	if p.keeper != nil {
-		return errors.Join(p.keeper.Close(), p.spool.Close())
+	if p.resender != nil {
+		return errors.Join(p.resender.Close(), p.spool.Close())
 	}
 	return p.spool.Close()
 }
 
-func (p *Program) goWork(f func()) {
-	p.work.Add(1)
+func (p *Program) goWorker(f func()) {
+	p.workers.Add(1)
 	go func() {
-		defer p.work.Done()
+		defer p.workers.Done()
 		f()
 	}()
 }
 
-// start sets going all that does not depend on clients.
-func (p *Program) start(working context.Context) {
-	p.goWork(func() { p.router.Tick(working) })
-	p.goWork(func() { p.notices.Run(working) })
-	p.goWork(func() { p.discovery.Run(working) })
-	p.goWork(func() { p.chores(working) })
-	p.goWork(func() { p.reloads(working) })
-	p.goWork(func() { p.count(working) })
-	p.goWork(func() { p.keepCold(working) })
-	if p.notes != nil {
-		p.goWork(func() { p.notes.Receive(p.router.Noted) })
+// startWorkers starts the goroutines that do not depend on clients.
+func (p *Program) startWorkers(ctx context.Context) {
+	p.goWorker(func() { p.router.RunTimer(ctx) })
+	p.goWorker(func() { p.notices.Run(ctx) })
+	p.goWorker(func() { p.discovery.Run(ctx) })
+	p.goWorker(func() { p.runTasks(ctx) })
+	p.goWorker(func() { p.reloadOnSignal(ctx) })
+	p.goWorker(func() { p.logStatsPeriodically(ctx) })
+	p.goWorker(func() { p.persistCold(ctx) })
+	if p.datagrams != nil {
+		p.goWorker(func() { p.datagrams.Receive(p.router.HandleNote) })
 	}
 }
 
-// drain keeps on for a while, then lets go of the clients, then starts no more legs, then waits for those out. The ends count from
-// when it was asked for; the doors stay open from now on, for who waits at them while a sender recovers.
-func (p *Program) drain(begun time.Time, stopPicking context.CancelFunc) {
+// drain accepts new connections for acceptPeriod, closes the clients, stops starting legs and waits for those in flight. The deadlines count
+// from the shutdown request, but acceptPeriod from now: clients may have been waiting to connect while the sender recovered.
+func (p *Program) drain(begun time.Time, stopLegs context.CancelFunc) {
 	if p.ordered != nil {
-		p.ordered.Leave()
+		p.ordered.ReleaseAll()
 	}
-	p.until(time.Now().Add(doorsOpen), func() bool { return false })
-	var gone atomic.Bool // the clients
-	p.goWork(func() {
+	p.waitUntil(time.Now().Add(acceptPeriod), func() bool { return false })
+	var clientsGone atomic.Bool
+	p.goWorker(func() {
 		p.server.Close()
-		gone.Store(true)
+		clientsGone.Store(true)
 	})
-	told := func() bool { return p.notices.Owed() == 0 } // looked at last: what ends meanwhile has its notice there
-	p.until(begun.Add(picksEnd), func() bool { return gone.Load() && p.engine.Owed() == 0 && told() })
-	stopPicking()
-	p.until(begun.Add(drainEnd), func() bool { return gone.Load() && p.engine.Out() == 0 && told() })
+	noticesSent := func() bool { return p.notices.Pending() == 0 } // checked last: a message that ends in between has queued its notice
+	p.waitUntil(begun.Add(legStartDeadline), func() bool { return clientsGone.Load() && p.engine.Pending() == 0 && noticesSent() })
+	stopLegs()
+	p.waitUntil(begun.Add(drainDeadline), func() bool { return clientsGone.Load() && p.engine.LegsInFlight() == 0 && noticesSent() })
 }
 
-// until waits for a moment, or until all is done.
-func (p *Program) until(end time.Time, done func() bool) {
-	look := time.NewTicker(glance)
-	defer look.Stop()
+// waitUntil waits for the time end or until done returns true.
+func (p *Program) waitUntil(end time.Time, done func() bool) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for time.Now().Before(end) && !done() {
-		<-look.C
+		<-ticker.C
 	}
 }
 
 func (p *Program) close() {
-	if p.notes != nil {
-		p.notes.Close()
+	if p.datagrams != nil {
+		p.datagrams.Close()
 	}
-	p.server.Cut()
+	p.server.Abort()
 	p.server.Close()
 	p.engine.Wait()
 	p.pool.Close()
 	p.notices.Close()
-	p.work.Wait()
+	p.workers.Wait()
 }
 
-// count writes a line of counts now and then.
-func (p *Program) count(ctx context.Context) {
-	every := time.NewTicker(tallyEvery)
-	defer every.Stop()
+// logStatsPeriodically logs the counters every statsInterval and at the end of ctx.
+func (p *Program) logStatsPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(statsInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.countLine()
+			p.logStats()
 			return
-		case <-every.C:
-			p.countLine()
+		case <-ticker.C:
+			p.logStats()
 		}
 	}
 }
 
-// operated has the operator's file read again at each reload.
-func (p *Program) operated(file string, ls *levels) { p.opFile, p.levels = file, ls }
+// followOperatorFile makes each reload read the operator's file again.
+func (p *Program) followOperatorFile(file string, ls *levels) { p.operatorFile, p.levels = file, ls }
 
-// Keep has what ends undelivered kept. It comes before Run. A store that cannot be had keeps nobody from serving.
-func (p *Program) Keep(t keep.Table) {
-	log := part(p.log, "kept")
-	store, err := keep.Open(p.state, int64(t.MostMB*1e6), int64(t.Age))
+// EnableDeadLetters stores undelivered messages as dead letters. It must be called before Run. If the store cannot be opened, the sender
+// serves without it.
+func (p *Program) EnableDeadLetters(t keep.Table) {
+	log := withPart(p.log, "kept")
+	store, err := keep.Open(p.stateDir, int64(t.MaxMB*1e6), int64(t.MaxAge))
 	if err == nil {
-		lanes := func(name string) (l kept.Lane) {
-			l.Known, l.Retriable, l.Keyed, l.Window = startup.Repeats(p.settings, name)
+		classOf := func(name string) (l kept.Class) {
+			l.Known, l.Retriable, l.Keyed, l.Window = startup.ClassRetry(p.settings, name)
 			return l
 		}
-		p.keeper, err = keep.NewKeeper(log, store, t, p.engine, lanes, p.router.Healthy, p.router.Owed, p.router.Room(), p.owes())
+		p.resender, err = keep.NewResender(log, store, t, p.engine, classOf, p.router.Healthy, p.router.Pending, p.router.Capacity(), p.pendingBeforeStart())
 	}
 	if err != nil {
 		log.Error("nothing is kept", zap.Error(err))
 		return
 	}
-	p.engine.Delivered, p.engine.Proven = p.keeper.Delivered, p.keeper.Proven
+	p.engine.OnDelivered, p.engine.OnNeverRan = p.resender.OnDelivered, p.resender.OnNeverRan
 }
 
-// told lets go of messages of whose end the platform knows, once they are kept where that is wanted.
-func (p *Program) told(us []relay.Undelivered) {
-	if p.keeper != nil {
-		p.keeper.Keep(us)
+// onNoticesDelivered completes messages whose end the platform has acknowledged, after storing them as dead letters if that is on.
+func (p *Program) onNoticesDelivered(us []relay.Undelivered) {
+	if p.resender != nil {
+		p.resender.Add(us)
 	}
 	for _, u := range us {
-		p.engine.Over(u.Msg)
+		p.engine.Complete(u.Msg)
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,23 +11,23 @@
 	"ravenlink/internal/startup"
 )
 
-// reloads reads the start file again at each signal. Of a row of signals the last one counts, and one that
-// comes while the file is read has it read once more.
-func (p *Program) reloads(ctx context.Context) {
+// reloadOnSignal reads the start file and the operator's file again on each signal. Pending signals are coalesced; one that
+// arrives during a reload causes another reload.
+func (p *Program) reloadOnSignal(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.reload:
-			p.reloadStart(ctx)
-			p.reloadOperators()
+			p.reloadStartFile(ctx)
+			p.reloadOperatorFile()
 		}
 	}
 }
 
-// reloadStart comes first: what discovery has at its new address counts as told 4 s after the signal.
-func (p *Program) reloadStart(ctx context.Context) {
-	addr, err := p.moved(ctx)
+// reloadStartFile runs before reloadOperatorFile: the list at a new address of discovery must be in use within 4 s of the signal.
+func (p *Program) reloadStartFile(ctx context.Context) {
+	addr, err := p.readDiscoveryAddr(ctx)
 	if err != nil {
 		p.log.Error("start file not taken, the old one stays in force", zap.Error(err))
 		return
@@ -35,38 +35,38 @@
 	p.log.Info("start file read again", zap.String("discovery", addr), zap.Bool("moved", p.agent.Move(addr)))
 }
 
-// moved reads where discovery is now. Danger: a crowd of clients may have all descriptors for a moment, and nobody signals a second time; so
-// it is read again as long as that alone is the fault.
-func (p *Program) moved(ctx context.Context) (addr string, err error) {
+// readDiscoveryAddr reads the address of discovery from the start file. It retries while the process is out of file descriptors:
+// many clients may use all of them for a moment, and the signal is not sent twice.
+func (p *Program) readDiscoveryAddr(ctx context.Context) (addr string, err error) {
 	for {
-		addr, err = startup.Moved(p.env)
+		addr, err = startup.ReloadDiscovery(p.env)
 		if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
 			return addr, err
 		}
 		select {
 		case <-ctx.Done():
 			return addr, err
-		case <-time.After(glance):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (p *Program) reloadOperators() {
-	if p.opFile == "" {
+func (p *Program) reloadOperatorFile() {
+	if p.operatorFile == "" {
 		return
 	}
-	f, err := p.levels.follow(p.opFile)
+	f, err := p.levels.load(p.operatorFile)
 	if err != nil {
 		p.log.Error("operator's file not taken, the old one stays in force", zap.Error(err))
 		return
 	}
-	if p.keeper != nil && f.Kept != nil {
-		p.keeper.Rule(f.Kept.Rules)
-	} else if (p.keeper != nil) != (f.Kept != nil) {
+	if p.resender != nil && f.DeadLetters != nil {
+		p.resender.SetRules(f.DeadLetters.Rules)
+	} else if (p.resender != nil) != (f.DeadLetters != nil) {
 		p.log.Warn("keeping is begun and ended at a start only")
 	}
-	if (p.rests != nil) != (f.Backlog != nil) || p.rests != nil && *p.rests != *f.Backlog {
+	if (p.backlogTable != nil) != (f.Backlog != nil) || p.backlogTable != nil && *p.backlogTable != *f.Backlog {
 		p.log.Warn("the backlog is begun, changed and ended at a start only")
 	}
-	p.log.Info("operator's file read again", zap.String("file", p.opFile))
+	p.log.Info("operator's file read again", zap.String("file", p.operatorFile))
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -7,21 +7,21 @@
 	"syscall"
 )
 
-const logLevel = "RAVENLINK_LOG" // debug, info (as without it), warn, error
+const envLogLevel = "RAVENLINK_LOG" // debug, info (default), warn, error
 
-// Serve runs a sender until SIGTERM or SIGINT has drained it. operatorFile names the operator's file, empty for none.
+// Serve runs a sender until it has drained after SIGTERM or SIGINT. operatorFile is the path of the operator's file, empty for none.
 func Serve(env func(string) string, operatorFile string) error {
-	reload := make(chan os.Signal, 1) // before all else: a signal nobody waits for would end the process
+	reload := make(chan os.Signal, 1) // registered first: by default SIGHUP ends the process
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	log, ls, err := logger(env(logLevel))
+	log, ls, err := newLogger(env(envLogLevel))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Sync() }()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	f, err := ls.follow(operatorFile)
+	f, err := ls.load(operatorFile)
 	if err != nil {
 		return err
 	}
@@ -29,12 +29,12 @@
 	if err != nil {
 		return err
 	}
-	p.operated(operatorFile, ls)
-	if f.Kept != nil {
-		p.Keep(*f.Kept)
+	p.followOperatorFile(operatorFile, ls)
+	if f.DeadLetters != nil {
+		p.EnableDeadLetters(*f.DeadLetters)
 	}
 	if f.Fleet != nil {
-		p.Fleet(*f.Fleet)
+		p.JoinFleet(*f.Fleet)
 	}
 	return p.Run(ctx)
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -16,75 +16,76 @@
 )
 
 const (
-	shards     = 8         // of the table of shares, by destination
-	retell     = 1_000_000 // µs after which an unchanged share is told again: the module forgets a destination that is not listed
-	shareNews  = 0.05      // a lesser change of a share is not told
-	needSpan   = 1_000_000 // µs over which arrivals are smoothed
-	needLeast  = 0.01      // messages a second; below it a destination is forgotten here
-	mostDemand = 4096      // destinations of one shard that messages are counted for
-	holdLeast  = 40_000    // µs for which a destination is held back after its gate was shut: two ticks
-	holdMost   = 1_000_000
-	fewShare   = 6        // calls a second; a lesser share is single calls, lent to go at once, or a sender's own in doubt
-	fewTold    = fewShare // what the module is told of those: the gate is their pace, and at this rate the module lets one go at a time
+	shardCount         = 8         // of the table of shares, by destination
+	resendInterval     = 1_000_000 // µs after which an unchanged share is reported again: the module forgets a destination that is not listed
+	minShareChange     = 0.05      // a smaller relative change of a share is not reported
+	demandTimeConstant = 1_000_000 // µs, time constant of the smoothed arrival rate
+	minDemand          = 0.01      // messages per second; below it a destination is forgotten here
+	maxDemandsPerShard = 4096      // destinations per shard whose messages are counted
+	minHold            = 40_000    // µs for which a destination is held back after its gate denied a call: two ticks
+	maxHold            = 1_000_000
+	smallShare         = 6          // calls per second; a smaller share consists of single calls, lent to go at once, or of a sender's own in doubt
+	smallShareReported = smallShare // reported to the module instead of a small share: the gate paces those, and at this rate the module releases one at a time
 )
 
-// limits has this sender's shares of destinations' limits, and tells the module of them.
+// limits manages this sender's shares of destinations' limits and reports them to the module.
 type limits struct {
 	r        *Runtime
 	declared map[int64]float64
-	shards   [shards]*shard
+	shards   [shardCount]*shard
 }
 
-// shard is the part of the table that has some of the destinations.
+// shard is the part of the table for a subset of the destinations.
 type shard struct {
-	l     *limits
-	key   uint64
-	mu    *ranked.Mutex
-	table *shares.Table
-	at    int64             // of the latest tick
-	needs map[int64]*demand // emptied as messages end and rates fade
-	awake []*demand         // those of needs that the next tick looks at; emptied as they rest or are forgotten
-	fades fadeHeap          // those that rest and that nothing waits for, by when they are forgotten; one that is woken leaves it
+	l        *limits
+	key      uint64
+	mu       *ranked.Mutex
+	table    *shares.Table
+	tickedAt int64             // time of the latest tick
+	demands  map[int64]*demand // entries are deleted when messages end and rates decay
+	active   []*demand         // the demands that the next tick examines; removed when deactivated or forgotten
+	idle     expiryHeap        // inactive demands without waiting messages, by expiry; one that is activated leaves the heap
 }
 
-// demand is what this sender wants of a destination.
+// demand is this sender's demand for a destination.
 type demand struct {
-	dst     int64
-	name    string  // of the destination, as the table has it
-	waiting int     // messages held that are not under way
-	told    int     // those that the table was told of last
-	came    int     // since the latest tick
-	perSec  float64 // smoothed, as of at
-	at      int64   // µs
-	fade    int64   // when a resting one is less than needLeast, µs
-	slot    int     // in the heap of those that fade, or awake or still
+	dst       int64
+	name      string  // of the destination, as in the table
+	waiting   int     // held messages without a leg in flight
+	reported  int     // value of waiting last passed to the table
+	arrivals  int     // since the latest tick
+	perSec    float64 // smoothed rate, as of updatedAt
+	updatedAt int64   // µs
+	expiresAt int64   // when the rate of an inactive demand falls below minDemand, µs
+	heapIndex int     // index in the expiry heap, or indexActive or indexWaiting
 }
 
-// The slots of a demand that is not in the heap: the next tick looks at it, or it rests and only an event changes it.
+// Heap indexes of demands outside the heap: either the next tick examines it, or it is inactive and only an event
+// changes it.
 const (
-	awake = -1
-	still = -2
+	indexActive  = -1
+	indexWaiting = -2
 )
 
-// fadeHeap has the demands that rest and for which nothing waits, the first to be forgotten first. It is bounded by mostDemand.
-type fadeHeap []*demand
+// expiryHeap holds at most maxDemandsPerShard inactive demands without waiting messages, the earliest expiry first.
+type expiryHeap []*demand
 
-func (h fadeHeap) Len() int           { return len(h) }
-func (h fadeHeap) Less(i, j int) bool { return h[i].fade < h[j].fade }
-func (h fadeHeap) Swap(i, j int) {
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
+func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push puts a demand at the end, for container/heap.
-func (h *fadeHeap) Push(x any) {
+// Push appends a demand, for container/heap.
+func (h *expiryHeap) Push(x any) {
 	d := x.(*demand)
-	d.slot = len(*h)
+	d.heapIndex = len(*h)
 	*h = append(*h, d)
 }
 
-// Pop takes the last demand away, for container/heap.
-func (h *fadeHeap) Pop() any {
+// Pop removes the last demand, for container/heap.
+func (h *expiryHeap) Pop() any {
 	i := len(*h) - 1
 	d := (*h)[i]
 	(*h)[i] = nil
@@ -92,33 +93,34 @@
 	return d
 }
 
-// wake has the next tick look at a destination, if anything is wanted there. Whatever may change its share or its need has to wake it: one
-// that rests on is told no share.
-func (s *shard) wake(dst int64) {
-	if d := s.needs[dst]; d != nil && d.slot != awake {
-		if d.slot >= 0 {
-			heap.Remove(&s.fades, d.slot)
+// activate makes the next tick examine a destination, if there is demand for it. Whatever may change its share or
+// demand must call it: an inactive demand gets no new share reported.
+func (s *shard) activate(dst int64) {
+	if d := s.demands[dst]; d != nil && d.heapIndex != indexActive {
+		if d.heapIndex >= 0 {
+			heap.Remove(&s.idle, d.heapIndex)
 		}
-		d.slot = awake
-		s.awake = append(s.awake, d)
+		d.heapIndex = indexActive
+		s.active = append(s.active, d)
 	}
 }
 
-// rest lets those rest that the tick has just looked at and for which no limit is known: their share is infinite, and was told. While one
-// rests its need fades by itself; the table keeps the one told last, which may be greater but is as much below a standing rate.
-func (s *shard) rest(now int64, settled func(dst int64) bool) {
-	s.awake = slices.DeleteFunc(s.awake, func(d *demand) bool {
+// deactivate removes demands from the active list that the tick has just examined and that have no known limit: their
+// share is infinite, and the module has no lease for them. The rate of an inactive demand decays without ticks. The table keeps the rate it
+// was last given, which may be higher than the decayed one, but is as far below a steady rate.
+func (s *shard) deactivate(now int64, noLease func(dst int64) bool) {
+	s.active = slices.DeleteFunc(s.active, func(d *demand) bool {
 		switch {
-		case s.needs[d.dst] != d:
+		case s.demands[d.dst] != d:
 			return true // forgotten
-		case d.came > 0 || d.waiting != d.told || !s.table.Unlimited(d.name) || !settled(d.dst):
+		case d.arrivals > 0 || d.waiting != d.reported || !s.table.Unlimited(d.name) || !noLease(d.dst):
 			return false
 		case d.waiting > 0:
-			d.slot = still
+			d.heapIndex = indexWaiting
 			return true
 		}
-		d.fade = now + max(1, int64(needSpan*math.Log(d.perSec/needLeast)))
-		heap.Push(&s.fades, d)
+		d.expiresAt = now + max(1, int64(demandTimeConstant*math.Log(d.perSec/minDemand)))
+		heap.Push(&s.idle, d)
 		return true
 	})
 }
@@ -130,39 +132,39 @@
 	}
 	for i := range l.shards {
 		name := "shares " + strconv.Itoa(i)
-		l.shards[i] = &shard{l: l, key: Key(name), mu: ranked.New(ranked.Shares, name), needs: map[int64]*demand{},
-			table: shares.New(r.table.Self, r.table.Listed(), timing(r.table))}
+		l.shards[i] = &shard{l: l, key: Key(name), mu: ranked.New(ranked.Shares, name), demands: map[int64]*demand{},
+			table: shares.New(r.table.Self, r.table.MemberNames(), timing(r.table))}
 	}
 	return l
 }
 
-// timing takes lease, beat and drift from the table; the rest goes along.
+// timing takes lease, heartbeat and drift from the table and scales the other times with them.
 func timing(t Table) shares.Timing {
-	u := shares.Usual()
+	u := shares.DefaultTiming()
 	lease := int64(t.Limits.Lease)
-	m := paced(members.Usual(len(t.Peers)+1), int64(t.Beat))
+	m := withHeartbeat(members.DefaultTiming(len(t.Peers)+1), int64(t.HeartbeatInterval))
 	return shares.Timing{Lease: lease, Vote: lease * u.Vote / u.Lease, Renew: lease * u.Renew / u.Lease,
-		Detect: m.Doubt + 2*m.Beat, Drift: int64(t.DriftPPM)}
+		Detect: m.SuspectAfter + 2*m.HeartbeatInterval, Drift: int64(t.DriftPPM)}
 }
 
-func name(dst int64) string { return strconv.FormatInt(dst, 10) }
+func destinationName(dst int64) string { return strconv.FormatInt(dst, 10) }
 
-func (l *limits) shard(dst string) *shard { return l.shards[Key(dst)%shards] }
+func (l *limits) shard(dst string) *shard { return l.shards[Key(dst)%shardCount] }
 
 func (l *limits) Kind() links.Kind { return links.Shares }
 
-func (l *limits) Hear(from string, f links.Frame) error {
+func (l *limits) Receive(from string, f links.Frame) error {
 	m, err := decode[shares.Msg](f.Body)
 	if err != nil {
 		return err
 	}
 	s := l.shard(m.Dst)
-	l.r.pool.Do(s.key, func() {
-		s.turn(func(now int64) []post.Letter[shares.Msg] {
+	l.r.pool.Submit(s.key, func() {
+		s.update(func(now int64) []post.PeerMessage[shares.Msg] {
 			if dst, err := strconv.ParseInt(m.Dst, 10, 64); err == nil && m.Limit > 0 {
-				s.wake(dst)
+				s.activate(dst)
 			}
-			return s.table.Heard(now, from, m)
+			return s.table.Receive(now, from, m)
 		})
 	})
 	return nil
@@ -170,269 +172,271 @@
 
 func (l *limits) Tick() {
 	for _, s := range l.shards {
-		l.r.pool.Do(s.key, s.tick)
+		l.r.pool.Submit(s.key, s.tick)
 	}
 }
 
-func (s *shard) turn(event func(now int64) []post.Letter[shares.Msg]) {
+func (s *shard) update(event func(now int64) []post.PeerMessage[shares.Msg]) {
 	s.mu.Lock()
-	letters := event(s.l.r.now())
+	messages := event(s.l.r.now())
 	s.mu.Unlock()
-	send(s.l.r, links.Shares, letters)
+	send(s.l.r, links.Shares, messages)
 }
 
-// tick lets time pass and tells the module what its shares are now. It looks only at destinations that an event or time may have changed.
+// tick advances time and reports the current shares to the module. It examines only destinations that an event or the
+// time may have changed.
 func (s *shard) tick() {
 	type share struct {
 		dst    int64
 		perSec float64
 	}
-	var tell []share
-	var gone []int64
-	s.turn(func(now int64) []post.Letter[shares.Msg] {
-		gone = s.need(now)
-		letters := s.table.Tick(now)
-		for _, d := range s.awake {
-			if s.needs[d.dst] == d {
+	var updates []share
+	var forgotten []int64
+	s.update(func(now int64) []post.PeerMessage[shares.Msg] {
+		forgotten = s.updateDemands(now)
+		messages := s.table.Tick(now)
+		for _, d := range s.active {
+			if s.demands[d.dst] == d {
 				perSec, _ := s.table.Share(now, d.name)
-				tell = append(tell, share{d.dst, perSec})
+				updates = append(updates, share{d.dst, perSec})
 			}
 		}
-		return letters
+		return messages
 	})
-	for _, dst := range gone {
-		s.l.r.unshare(dst)
+	for _, dst := range forgotten {
+		s.l.r.clearShare(dst)
 	}
-	for _, x := range tell {
-		s.l.r.share(x.dst, x.perSec)
+	for _, x := range updates {
+		s.l.r.reportShare(x.dst, x.perSec)
 	}
 	s.mu.Lock()
-	s.rest(s.at, s.l.r.settled)
+	s.deactivate(s.tickedAt, s.l.r.hasNoLease)
 	s.mu.Unlock()
 }
 
-// need tells the table what is wanted, and forgets what is no more.
-func (s *shard) need(now int64) (gone []int64) {
-	was := s.at
-	span := now - was
-	s.at = now
-	for len(s.fades) > 0 && s.fades[0].fade <= now {
-		s.wake(s.fades[0].dst)
+// updateDemands passes the demands to the table, and forgets those that have decayed.
+func (s *shard) updateDemands(now int64) (forgotten []int64) {
+	previous := s.tickedAt
+	span := now - previous
+	s.tickedAt = now
+	for len(s.idle) > 0 && s.idle[0].expiresAt <= now {
+		s.activate(s.idle[0].dst)
 	}
-	for _, d := range s.awake {
-		if d.at < was { // it rested
-			d.perSec *= math.Exp(-float64(was-d.at) / needSpan)
+	for _, d := range s.active {
+		if d.updatedAt < previous { // it was inactive
+			d.perSec *= math.Exp(-float64(previous-d.updatedAt) / demandTimeConstant)
 		}
 		if span > 0 {
-			part := 1 - math.Exp(-float64(span)/needSpan)
-			d.perSec += (float64(d.came)*1e6/float64(span) - d.perSec) * part
-			d.came = 0
+			weight := 1 - math.Exp(-float64(span)/demandTimeConstant)
+			d.perSec += (float64(d.arrivals)*1e6/float64(span) - d.perSec) * weight
+			d.arrivals = 0
 		}
-		d.at = now
+		d.updatedAt = now
 		s.declare(now, d.dst)
-		s.table.Need(now, d.name, d.perSec, d.waiting)
-		d.told = d.waiting
-		if d.waiting == 0 && d.perSec < needLeast {
-			s.table.Need(now, d.name, 0, 0)
-			delete(s.needs, d.dst)
-			gone = append(gone, d.dst)
+		s.table.SetDemand(now, d.name, d.perSec, d.waiting)
+		d.reported = d.waiting
+		if d.waiting == 0 && d.perSec < minDemand {
+			s.table.SetDemand(now, d.name, 0, 0)
+			delete(s.demands, d.dst)
+			forgotten = append(forgotten, d.dst)
 		}
 	}
-	return gone
+	return forgotten
 }
 
-// declare says what the operator knows, which the table forgets when nobody calls for long.
+// declare sets the limit that the operator configured; the table forgets it when there are no calls for long.
 func (s *shard) declare(now int64, dst int64) {
 	if perSec, known := s.l.declared[dst]; known {
-		s.table.Limit(now, name(dst), perSec, shares.Declared)
+		s.table.SetLimit(now, destinationName(dst), perSec, shares.Declared)
 	}
 }
 
-// spend takes a call off the share. It waits for no link: the lock is held for turns of the table alone.
-func (l *limits) spend(dst int64) bool {
-	s := l.shard(name(dst))
+// allow takes a call off the share. It never waits for a link: the mutex is held only for operations on the table.
+func (l *limits) allow(dst int64) bool {
+	s := l.shard(destinationName(dst))
 	s.mu.Lock()
 	now := l.r.now()
 	s.declare(now, dst)
-	may := s.table.Spend(now, name(dst))
+	allowed := s.table.Allow(now, destinationName(dst))
 	s.mu.Unlock()
-	if may {
-		l.r.counts.spent.Inc()
+	if allowed {
+		l.r.metrics.allowed.Inc()
 	}
-	return may
+	return allowed
 }
 
-// count takes in that a message waits (1) or no longer does (-1); new says that it has just come.
-func (l *limits) count(dst int64, by int, new bool) {
-	s := l.shard(name(dst))
+// countMessages changes the number of waiting messages by delta (1 or -1); arrived says that a message is new.
+func (l *limits) countMessages(dst int64, delta int, arrived bool) {
+	s := l.shard(destinationName(dst))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.needs[dst]
+	d := s.demands[dst]
 	if d == nil {
-		if by < 0 || len(s.needs) >= mostDemand {
+		if delta < 0 || len(s.demands) >= maxDemandsPerShard {
 			return
 		}
-		d = &demand{dst: dst, name: name(dst), at: s.at, slot: awake}
-		s.needs[dst] = d
-		s.awake = append(s.awake, d)
+		d = &demand{dst: dst, name: destinationName(dst), updatedAt: s.tickedAt, heapIndex: indexActive}
+		s.demands[dst] = d
+		s.active = append(s.active, d)
 	}
-	s.wake(dst)
-	if d.waiting = max(0, d.waiting+by); new {
-		d.came++
+	s.activate(dst)
+	if d.waiting = max(0, d.waiting+delta); arrived {
+		d.arrivals++
 	}
 }
 
-// refused takes in that a destination turned a call away.
-func (l *limits) refused(dst int64) {
-	s := l.shard(name(dst))
+// recordRefusal records that a destination rejected a call.
+func (l *limits) recordRefusal(dst int64) {
+	s := l.shard(destinationName(dst))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Refused(l.r.now(), name(dst))
+	s.table.RecordRefusal(l.r.now(), destinationName(dst))
 }
 
-// wake has the next tick look at a destination; no lock may be held.
-func (l *limits) wake(dst int64) {
-	s := l.shard(name(dst))
+// activate makes the next tick examine a destination. The caller must hold no mutex.
+func (l *limits) activate(dst int64) {
+	s := l.shard(destinationName(dst))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wake(dst)
+	s.activate(dst)
 }
 
-// saw takes in a limit that a destination told.
-func (l *limits) saw(v routing.Sight) {
-	if v.Kind != routing.SeenLimit {
+// recordLimit records a limit that a destination reported.
+func (l *limits) recordLimit(v routing.Observation) {
+	if v.Kind != routing.ObservedLimit {
 		return
 	}
-	s := l.shard(name(v.Dst))
+	s := l.shard(destinationName(v.Dst))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Limit(l.r.now(), name(v.Dst), v.PerSec, shares.Told)
-	s.wake(v.Dst)
+	s.table.SetLimit(l.r.now(), destinationName(v.Dst), v.PerSec, shares.Reported)
+	s.activate(v.Dst)
 }
 
-func (l *limits) Seen(now int64, v members.View) {
+func (l *limits) UpdateMembers(now int64, v members.View) {
 	floor := 0.0
 	for _, s := range l.shards {
 		s.mu.Lock()
-		s.table.View(now, v)
-		floor = s.table.Floor(0)
+		s.table.SetView(now, v)
+		floor = s.table.RetryFloor(0)
 		s.mu.Unlock()
 	}
-	l.r.module.Floor(floor)
+	l.r.module.SetRetryFloor(floor)
 }
 
-// Leave gives back what was lent.
+// Leave returns what was lent.
 func (l *limits) Leave(int64) {
 	for _, s := range l.shards {
-		s.turn(func(now int64) []post.Letter[shares.Msg] {
-			for dst := range s.needs {
-				s.table.Need(now, name(dst), 0, 0)
+		s.update(func(now int64) []post.PeerMessage[shares.Msg] {
+			for dst := range s.demands {
+				s.table.SetDemand(now, destinationName(dst), 0, 0)
 			}
 			return s.table.Tick(now)
 		})
 	}
 }
 
-// told is what the module was last told of its shares.
-type told struct {
-	mu   sync.Mutex // a leaf: the module is told after it is let go
-	of   map[int64]said
-	is   map[int64]float64  // the shares themselves
-	held map[int64]heldBack // destinations whose gate was shut; emptied at the next tick that finds it past
+// leaseState holds the leases last reported to the module.
+type leaseState struct {
+	mu       sync.Mutex // no other mutex is locked under it: the module is called after it is unlocked
+	reported map[int64]reportedLease
+	shares   map[int64]float64 // the actual shares
+	held     map[int64]hold    // destinations held back by the gate; deleted at the first tick after their time
 }
 
-// heldBack says until when a destination waits, unless its share becomes greater than it was.
-type heldBack struct {
+// hold says until when a destination is held back, unless its share grows meanwhile.
+type hold struct {
 	until int64
 	share float64
 }
 
-type said struct {
+type reportedLease struct {
 	perSec float64
 	at     int64
 }
 
-// settled tells that the module was never told a share of this destination, or was told that it has none: it is not to be told again.
-func (r *Runtime) settled(dst int64) bool {
-	r.told.mu.Lock()
-	defer r.told.mu.Unlock()
-	_, held := r.told.held[dst]
-	_, known := r.told.of[dst]
+// hasNoLease reports whether the module has no lease for this destination, because none was reported or it was cleared.
+// There is nothing to update then.
+func (r *Runtime) hasNoLease(dst int64) bool {
+	r.leases.mu.Lock()
+	defer r.leases.mu.Unlock()
+	_, held := r.leases.held[dst]
+	_, known := r.leases.reported[dst]
 	return !held && !known
 }
 
-// share tells the module a share if it is news; an infinite one is none.
-func (r *Runtime) share(dst int64, perSec float64) {
+// reportShare reports a changed share to the module; an infinite one means no limit.
+func (r *Runtime) reportShare(dst int64, perSec float64) {
 	if math.IsInf(perSec, 1) {
 		perSec = -1
 	}
 	now := r.now()
-	r.told.mu.Lock()
-	if h, held := r.told.held[dst]; held && now < h.until && perSec <= h.share {
-		r.told.mu.Unlock()
+	r.leases.mu.Lock()
+	if h, held := r.leases.held[dst]; held && now < h.until && perSec <= h.share {
+		r.leases.mu.Unlock()
 		return
 	}
-	delete(r.told.held, dst)
-	r.told.is[dst] = perSec
-	if perSec > 0 && perSec < fewShare {
-		perSec = fewTold
+	delete(r.leases.held, dst)
+	r.leases.shares[dst] = perSec
+	if perSec > 0 && perSec < smallShare {
+		perSec = smallShareReported
 	}
-	was, known := r.told.of[dst]
-	news := !known && perSec >= 0 || known && (was.perSec == 0) != (perSec == 0) || known && math.Abs(was.perSec-perSec) > shareNews*was.perSec ||
-		known && now-was.at > retell
-	if news {
-		r.told.of[dst] = said{perSec, now}
+	last, known := r.leases.reported[dst]
+	changed := !known && perSec >= 0 || known && (last.perSec == 0) != (perSec == 0) || known && math.Abs(last.perSec-perSec) > minShareChange*last.perSec ||
+		known && now-last.at > resendInterval
+	if changed {
+		r.leases.reported[dst] = reportedLease{perSec, now}
 	}
-	r.told.mu.Unlock()
-	if news {
-		r.module.Shared(dst, perSec)
+	r.leases.mu.Unlock()
+	if changed {
+		r.module.SetLease(dst, perSec)
 	}
 }
 
-// hold has the module wait with a destination whose gate was shut, at least so long: a call that is not let go costs it nothing, so it would
-// come again at once.
-func (r *Runtime) hold(dst, least int64) {
+// holdBack makes the module wait with a destination whose gate denied a call, for at least minWait: a denied call costs
+// the module nothing, so it would retry at once.
+func (r *Runtime) holdBack(dst, minWait int64) {
 	now := r.now()
-	r.told.mu.Lock()
-	h, held := r.told.held[dst]
+	r.leases.mu.Lock()
+	h, held := r.leases.held[dst]
 	first := !held || now >= h.until
-	room := held || len(r.told.held) < mostDemand
-	if room {
-		is := r.told.is[dst]
-		wait := least
-		if is > 0 && is < fewShare {
-			wait = min(max(int64(1e6/is), least), holdMost)
+	fits := held || len(r.leases.held) < maxDemandsPerShard
+	if fits {
+		share := r.leases.shares[dst]
+		wait := minWait
+		if share > 0 && share < smallShare {
+			wait = min(max(int64(1e6/share), minWait), maxHold)
 		}
-		r.told.held[dst] = heldBack{max(h.until, now+wait), is}
-		r.told.of[dst] = said{0, now}
+		r.leases.held[dst] = hold{max(h.until, now+wait), share}
+		r.leases.reported[dst] = reportedLease{0, now}
 	}
-	r.told.mu.Unlock()
+	r.leases.mu.Unlock()
 	if r.limits != nil {
-		r.limits.wake(dst) // after it is held: else its tick might let it rest in between, and it would be held back for good
+		r.limits.activate(dst) // only after it is held: otherwise its tick might deactivate it in between, and it would be held back forever
 	}
-	if first && room {
-		r.module.Shared(dst, 0)
+	if first && fits {
+		r.module.SetLease(dst, 0)
 	}
 }
 
-// unhold lets the next tick tell the module its share again.
-func (r *Runtime) unhold(dst int64) {
-	r.told.mu.Lock()
-	defer r.told.mu.Unlock()
-	if h, held := r.told.held[dst]; held {
-		r.told.held[dst] = heldBack{0, h.share}
+// endHold makes the next tick report the share to the module again.
+func (r *Runtime) endHold(dst int64) {
+	r.leases.mu.Lock()
+	defer r.leases.mu.Unlock()
+	if h, held := r.leases.held[dst]; held {
+		r.leases.held[dst] = hold{0, h.share}
 	}
 }
 
-// unshare forgets a destination for which nothing waits.
-func (r *Runtime) unshare(dst int64) {
-	r.told.mu.Lock()
-	_, known := r.told.of[dst]
-	delete(r.told.of, dst)
-	delete(r.told.is, dst)
-	delete(r.told.held, dst)
-	r.told.mu.Unlock()
+// clearShare forgets a destination without demand.
+func (r *Runtime) clearShare(dst int64) {
+	r.leases.mu.Lock()
+	_, known := r.leases.reported[dst]
+	delete(r.leases.reported, dst)
+	delete(r.leases.shares, dst)
+	delete(r.leases.held, dst)
+	r.leases.mu.Unlock()
 	if known {
-		r.module.Shared(dst, -1)
+		r.module.SetLease(dst, -1)
 	}
 }
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -8,27 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Pool is a pool of workers. Work of one key runs on one worker, in the order in which it was given; each worker has a bounded queue.
+// Pool is a pool of workers. Work of one key runs on one worker, in submission order; each worker has a bounded queue.
 type Pool struct {
 	workers []*worker
-	running sync.WaitGroup
+	wg      sync.WaitGroup
 	refused atomic.Int64
 }
 
-// worker has a queue and a goroutine of its own.
+// worker runs the work of its queue on its own goroutine.
 type worker struct {
-	mu     sync.Mutex // over closed and the sending side; it leads to no other lock
+	mu     sync.Mutex // guards closed and sends to queue; no other mutex is locked under it
 	closed bool
 	queue  chan func()
 }
 
-// NewPool starts so many workers, each with a queue of so many places.
-func NewPool(workers, places int) *Pool {
+// NewPool starts the given number of workers, each with a queue of the given length.
+func NewPool(workers, queueLength int) *Pool {
 	p := &Pool{}
 	for range max(1, workers) {
-		w := &worker{queue: make(chan func(), max(1, places))}
+		w := &worker{queue: make(chan func(), max(1, queueLength))}
 		p.workers = append(p.workers, w)
-		p.running.Go(w.run)
+		p.wg.Go(w.run)
 	}
 	return p
 }
@@ -39,9 +39,10 @@
 	}
 }
 
-// Do queues work and does not wait for it; false when its worker's queue is full or the pool is closed, which is counted.
-func (p *Pool) Do(key uint64, f func()) bool {
-	if !p.worker(key).take(f) {
+// Submit queues work without waiting for it. It returns false, and counts a rejection, if the worker's queue is full or
+// the pool is closed.
+func (p *Pool) Submit(key uint64, f func()) bool {
+	if !p.worker(key).enqueue(f) {
 		p.refused.Add(1)
 		return false
 	}
@@ -54,7 +55,7 @@
 	return p.workers[xxhash.Sum64(text[:])%uint64(len(p.workers))]
 }
 
-func (w *worker) take(f func()) bool {
+func (w *worker) enqueue(f func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -68,10 +69,10 @@
 	}
 }
 
-// Refused counts the work that was not taken.
-func (p *Pool) Refused() int64 { return p.refused.Load() }
+// Rejected returns how many submissions were rejected.
+func (p *Pool) Rejected() int64 { return p.refused.Load() }
 
-// Close takes no more work and waits until all that was taken is done.
+// Close rejects further work and waits until all accepted work is done.
 func (p *Pool) Close() {
 	for _, w := range p.workers {
 		w.mu.Lock()
@@ -81,8 +82,8 @@
 		}
 		w.mu.Unlock()
 	}
-	p.running.Wait()
+	p.wg.Wait()
 }
 
-// Key is the key of a subject that is named by text.
+// Key hashes the name of a subject to a key.
 func Key(subject string) uint64 { return xxhash.Sum64String(subject) }
--- a/internal/fleet/tenant.go
+++ b/internal/fleet/tenant.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Owns tells whether a message is a tenant's: by its destination, its lane or its ordering key.
-func (t Tenant) Owns(dst int64, lane, orderKey string) bool {
-	return slices.Contains(t.Dst, dst) || slices.Contains(t.Lanes, lane) || t.KeyPrefix != "" && strings.HasPrefix(orderKey, t.KeyPrefix)
+// Owns reports whether a message belongs to the tenant: by its destination, its class or its ordering key.
+func (t Tenant) Owns(dst int64, class, orderKey string) bool {
+	return slices.Contains(t.Dst, dst) || slices.Contains(t.Classes, class) || t.KeyPrefix != "" && strings.HasPrefix(orderKey, t.KeyPrefix)
 }
 
-// tenant finds one by name.
+// tenant looks a tenant up by name.
 func (t Table) tenant(name string) (Tenant, bool) {
 	i := slices.IndexFunc(t.Tenants, func(n Tenant) bool { return n.Name == name })
 	if i < 0 {
@@ -19,5 +19,5 @@
 	return t.Tenants[i], true
 }
 
-// alone lists the destinations that are one tenant's and nobody else's.
-func (t Tenant) alone() []int64 { return t.Dst }
+// exclusiveDestinations returns the destinations that belong to this tenant only.
+func (t Tenant) exclusiveDestinations() []int64 { return t.Dst }
