--- a/internal/fleetlog/log.go
+++ b/internal/fleetlog/log.go
@@ -1,5 +1,6 @@
-// Package fleetlog is what of the fleet outlasts the process, in the state folder: which folder this is, how often it was started,
-// epochs, and records of the decision modules, which it does not read. One bbolt file, bounded in bytes.
+// Package fleetlog stores the state of the fleet that must survive a restart, in the state folder: the folder's ID, how
+// often it was started, epochs, and records of the decision modules, whose contents it does not interpret. It is one
+// bbolt file of bounded size.
 package fleetlog
 
 import (
@@ -19,26 +20,26 @@
 )
 
 const (
-	fileName = "fleet.db"
-	newName  = "fleet.db.new" // being written; it counts for nothing
-	oldName  = "fleet.db.old" // replaced, and to be overwritten
-	form     = "1"            // of the file; a file of another form is left alone
-	lockFor  = 2 * time.Second
-	growBy   = 16 << 10 // bytes that the file grows by; bbolt's own 16 MB is more than some folders may hold
+	fileName      = "fleet.db"
+	newName       = "fleet.db.new" // being written; ignored when the log is opened
+	oldName       = "fleet.db.old" // the replaced file, which is still to be overwritten
+	formatVersion = "1"            // format of the file; a file of another format is left alone
+	lockTimeout   = 2 * time.Second
+	allocBytes    = 16 << 10 // allocation step of the file; bbolt's default of 16 MB exceeds the disk limit of some folders
 
-	// LeastBytes is the least bound that leaves room for records.
-	LeastBytes = 192 << 10
-	base       = 48 << 10 // bytes of a file without records, and of what a step grows it by
-	livePart   = 4        // one byte in so many of the bound may be records, so that two files find room while one replaces the other
-	filePart   = 2        // a file beyond one in so many is compacted
+	// MinBytes is the least bound that leaves room for records.
+	MinBytes       = 192 << 10
+	emptyFileBytes = 48 << 10 // size of a file without records, and of the growth of one transaction
+	recordShare    = 4        // fraction (1/n) of the limit usable for records, so that two files fit while one replaces the other
+	compactShare   = 2        // the file is compacted once it exceeds this fraction (1/n) of the limit
 
-	mostValue = 32 << 10 // bytes of a record's value
-	mostKey   = 512
-	bigValue  = 1 << 10 // a page holds few of these, so that they count double
-	extra     = 64      // bytes that a record takes beside key and value
+	maxValueBytes  = 32 << 10 // of a record's value
+	maxKeyBytes    = 512
+	largeRecord    = 1 << 10 // few of these fit on a page, so larger records count double
+	recordOverhead = 64      // bytes of a record besides key and value
 )
 
-// Bucket keeps the records of one module apart.
+// Bucket separates the records of one module from the others.
 type Bucket string
 
 // The buckets.
@@ -54,53 +55,54 @@
 var (
 	metaBucket     = []byte("meta")
 	epochsBucket   = []byte("epochs")
-	formKey        = []byte("form")
+	formatKey      = []byte("form")
 	folderKey      = []byte("folder")
 	incarnationKey = []byte("incarnation")
 )
 
-// The faults that callers tell apart.
+// Errors that callers distinguish.
 var (
-	ErrForm = errors.New("fleet log: the file is of another form")
-	ErrTorn = errors.New("fleet log: the file cannot be read")
-	ErrFull = errors.New("fleet log: no room for a further record")
-	ErrSize = errors.New("fleet log: a record beyond its bound")
+	ErrFormat   = errors.New("fleet log: the file is of another form")
+	ErrCorrupt  = errors.New("fleet log: the file cannot be read")
+	ErrFull     = errors.New("fleet log: the record limit is reached")
+	ErrTooLarge = errors.New("fleet log: key or value of a record is empty or too large")
 )
 
-// Log is one sender's. Its methods may be called from several goroutines; none is to be called under a lock of a decision module.
+// Log is the log of one sender. Its methods are safe for concurrent use; none may be called with a decision module's
+// mutex held.
 type Log struct {
-	dir  string
-	most int64
+	dir      string
+	maxBytes int64
 
-	mu   sync.RWMutex // held to write while the file is replaced; it leads to no other lock
-	db   *bbolt.DB
-	live int64 // bytes of records, as they are counted; changed in write only
+	mu        sync.RWMutex // write-locked while the file is replaced; no other mutex is locked under it
+	db        *bbolt.DB
+	liveBytes int64 // size of all records as computed by cost; changed in write only
 }
 
-// Open opens the log of a folder, or begins it. What was cut for not being whole is told in notes. An error means that the sender does
-// without the fleet; nothing was changed then.
-func Open(dir string, most int64) (l *Log, notes []string, err error) {
-	if most < LeastBytes {
-		return nil, nil, fmt.Errorf("fleet log: %d bytes are too few; the least is %d", most, int64(LeastBytes))
+// Open opens the log of a folder or creates it. The notes name records that were dropped because they were corrupt.
+// After an error nothing was changed, and the sender runs without the fleet.
+func Open(dir string, maxBytes int64) (l *Log, notes []string, err error) {
+	if maxBytes < MinBytes {
+		return nil, nil, fmt.Errorf("fleet log: limit of %d bytes is below the minimum of %d", maxBytes, int64(MinBytes))
 	}
-	l = &Log{dir: dir, most: most}
-	if err := l.sweep(); err != nil {
+	l = &Log{dir: dir, maxBytes: maxBytes}
+	if err := l.removeLeftovers(); err != nil {
 		return nil, nil, err
 	}
-	var file *os.File // to let go of where bbolt does not
+	var file *os.File // closed here where bbolt does not
 	done := make(chan struct{})
-	go func() { // of its own, for what a torn file does to reads ends a goroutine
+	go func() { // a separate goroutine, because a fault while reading a corrupt mapped file ends the goroutine
 		defer close(done)
 		defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 		defer func() {
 			if fault := recover(); fault != nil {
-				err = fmt.Errorf("%w: %v", ErrTorn, fault)
-				l.db = nil                                         // it may hold locks of its own, so that closing it would wait for ever
-				_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // what is mapped keeps the lock beyond Close
+				err = fmt.Errorf("%w: %v", ErrCorrupt, fault)
+				l.db = nil                                         // bbolt may hold its own locks, so closing it could block forever
+				_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // the mapping keeps the lock after Close
 				_ = file.Close()
 			}
 		}()
-		notes, err = l.begin(&file)
+		notes, err = l.load(&file)
 	}()
 	<-done
 	if err != nil {
@@ -109,10 +111,10 @@
 	return l, notes, nil
 }
 
-// sweep overwrites and removes what an earlier process left of replacing the file.
-func (l *Log) sweep() error {
+// removeLeftovers overwrites and removes files that an interrupted replacement of an earlier process left behind.
+func (l *Log) removeLeftovers() error {
 	for _, name := range []string{newName, oldName} {
-		if err := erase(l.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := overwriteAndRemove(l.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("fleet log: %w", err)
 		}
 	}
@@ -123,11 +125,11 @@
 
 func openFile(path string, file **os.File) (*bbolt.DB, error) {
 	if info, err := os.Stat(path); err == nil && info.Size() == 0 {
-		if err := os.Remove(path); err != nil { // begun, and never written to
+		if err := os.Remove(path); err != nil { // created but never written to
 			return nil, err
 		}
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockFor, FreelistType: bbolt.FreelistMapType, NoSync: true,
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoSync: true,
 		OpenFile: func(name string, flag int, mode os.FileMode) (f *os.File, err error) {
 			f, err = os.OpenFile(name, flag, mode)
 			*file = f
@@ -136,29 +138,29 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet log: %s: %w", path, err)
 	}
-	db.AllocSize = growBy
+	db.AllocSize = allocBytes
 	return db, nil
 }
 
-func (l *Log) begin(file **os.File) (notes []string, err error) {
+func (l *Log) load(file **os.File) (notes []string, err error) {
 	if l.db, err = openFile(l.path(fileName), file); err != nil {
 		return nil, err
 	}
-	if err := l.known(); err != nil {
+	if err := l.checkFormat(); err != nil {
 		return nil, err
 	}
 	if err := l.db.Update(create); err != nil {
 		return nil, fmt.Errorf("fleet log: %w", err)
 	}
-	return l.cut()
+	return l.dropCorrupt()
 }
 
-// known refuses a file of another form before anything is written to it.
-func (l *Log) known() error {
+// checkFormat rejects a file of another format before anything is written to it.
+func (l *Log) checkFormat() error {
 	return l.db.View(func(tx *bbolt.Tx) error {
 		if meta := tx.Bucket(metaBucket); meta != nil {
-			if is := meta.Get(formKey); string(is) != form {
-				return fmt.Errorf("%w: %q, this is %q", ErrForm, is, form)
+			if found := meta.Get(formatKey); string(found) != formatVersion {
+				return fmt.Errorf("%w: found %q, supported is %q", ErrFormat, found, formatVersion)
 			}
 		}
 		return nil
@@ -181,34 +183,34 @@
 	if meta.Get(folderKey) != nil {
 		return nil
 	}
-	var drawn [8]byte
-	for drawn == [8]byte{} { // 0 stands for not known
-		if _, err := rand.Read(drawn[:]); err != nil {
+	var id [8]byte
+	for id == [8]byte{} { // 0 means unknown
+		if _, err := rand.Read(id[:]); err != nil {
 			return err
 		}
 	}
-	if err := meta.Put(folderKey, drawn[:]); err != nil {
+	if err := meta.Put(folderKey, id[:]); err != nil {
 		return err
 	}
-	return meta.Put(formKey, []byte(form))
+	return meta.Put(formatKey, []byte(formatVersion))
 }
 
-// cut drops records that are not whole, and counts the rest.
-func (l *Log) cut() (notes []string, err error) {
+// dropCorrupt deletes records whose checksum does not match and adds up the cost of the others.
+func (l *Log) dropCorrupt() (notes []string, err error) {
 	err = l.db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range buckets {
 			b := tx.Bucket([]byte(name))
-			var torn [][]byte
+			var corrupt [][]byte
 			c := b.Cursor()
 			for k, v := c.First(); k != nil; k, v = c.Next() {
-				if _, whole := unseal(name, k, v); !whole {
-					torn = append(torn, append([]byte(nil), k...))
+				if _, valid := decode(name, k, v); !valid {
+					corrupt = append(corrupt, append([]byte(nil), k...))
 					notes = append(notes, fmt.Sprintf("record %q of %s is not whole and was cut", k, name))
 					continue
 				}
-				l.live += cost(k, v)
+				l.liveBytes += cost(k, v)
 			}
-			for _, k := range torn {
+			for _, k := range corrupt {
 				if err := b.Delete(k); err != nil {
 					return err
 				}
@@ -222,17 +224,18 @@
 	return notes, nil
 }
 
-// Identity says which folder this is and which start of it.
+// Identity identifies the folder and the number of its current start.
 type Identity struct {
-	Folder      uint64 // drawn at random once, with the folder; never 0
+	Folder      uint64 // random, assigned once when the log is created; never 0
 	Incarnation uint64 // 1 for the first start
 }
 
-// Start counts a start, on disk when it returns. It comes once, before anything is sent.
+// Start increments the incarnation and syncs it to disk before it returns. It must be called once, before anything is
+// sent.
 func (l *Log) Start() (id Identity, err error) {
 	err = l.write(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		id = Identity{number(meta.Get(folderKey)), number(meta.Get(incarnationKey)) + 1}
+		id = Identity{decodeUint64(meta.Get(folderKey)), decodeUint64(meta.Get(incarnationKey)) + 1}
 		return meta.Put(incarnationKey, binary.BigEndian.AppendUint64(nil, id.Incarnation))
 	})
 	if err == nil {
@@ -241,62 +244,63 @@
 	return id, err
 }
 
-func number(v []byte) uint64 {
+func decodeUint64(v []byte) uint64 {
 	if len(v) != 8 {
 		return 0
 	}
 	return binary.BigEndian.Uint64(v)
 }
 
-// Epoch gives a number last set under a name, 0 for none.
+// Epoch returns the number last set for a name, or 0.
 func (l *Log) Epoch(name string) (n uint64, err error) {
 	err = l.read(func(tx *bbolt.Tx) error {
-		n = number(tx.Bucket(epochsBucket).Get([]byte(name)))
+		n = decodeUint64(tx.Bucket(epochsBucket).Get([]byte(name)))
 		return nil
 	})
 	return n, err
 }
 
-// SetEpoch has a number outlast the process. A name's number never falls.
+// SetEpoch stores a number for a name. The stored number never decreases.
 func (l *Log) SetEpoch(name string, n uint64) error {
 	return l.write(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(epochsBucket)
-		if number(b.Get([]byte(name))) >= n {
+		if decodeUint64(b.Get([]byte(name))) >= n {
 			return nil
 		}
 		return b.Put([]byte(name), binary.BigEndian.AppendUint64(nil, n))
 	})
 }
 
-// Sync has all that was written outlast the machine. Without it, what was written outlasts the process.
+// Sync flushes all writes to disk, so that they survive a crash of the machine. Unsynced writes survive only a crash of
+// the process.
 func (l *Log) Sync() error {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return wrap(l.db.Sync())
+	return wrapError(l.db.Sync())
 }
 
-// Close lets go of the file.
+// Close syncs and closes the file.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.db == nil {
 		return nil
 	}
-	return wrap(errors.Join(l.db.Sync(), l.db.Close()))
+	return wrapError(errors.Join(l.db.Sync(), l.db.Close()))
 }
 
-func wrap(err error) error {
-	if err == nil || errors.Is(err, ErrFull) || errors.Is(err, ErrSize) {
+func wrapError(err error) error {
+	if err == nil || errors.Is(err, ErrFull) || errors.Is(err, ErrTooLarge) {
 		return err
 	}
 	return fmt.Errorf("fleet log: %w", err)
 }
 
-// Raise has later starts count on from a number, where the fleet knows of later starts than this folder does.
-func (l *Log) Raise(incarnation uint64) error {
+// RaiseIncarnation raises the stored incarnation, where the fleet knows of later starts than this folder does.
+func (l *Log) RaiseIncarnation(incarnation uint64) error {
 	return l.write(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		if number(meta.Get(incarnationKey)) >= incarnation {
+		if decodeUint64(meta.Get(incarnationKey)) >= incarnation {
 			return nil
 		}
 		return meta.Put(incarnationKey, binary.BigEndian.AppendUint64(nil, incarnation))
--- a/internal/fleetlog/log_test.go
+++ b/internal/fleetlog/log_test.go
@@ -15,28 +15,28 @@
 	"go.etcd.io/bbolt"
 )
 
-const most = 400 << 10
+const testMaxBytes = 400 << 10
 
 func open(t *testing.T, dir string) *Log {
 	t.Helper()
-	l, notes, err := Open(dir, most)
+	l, notes, err := Open(dir, testMaxBytes)
 	require.NoError(t, err)
 	require.Empty(t, notes)
 	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
-// raw changes the file behind the log's back.
-func raw(t *testing.T, dir string, f func(*bbolt.Tx) error) {
+// editFile changes the file while the log is closed.
+func editFile(t *testing.T, dir string, f func(*bbolt.Tx) error) {
 	t.Helper()
-	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{Timeout: lockFor})
+	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{Timeout: lockTimeout})
 	require.NoError(t, err)
 	require.NoError(t, db.Update(f))
 	require.NoError(t, db.Close())
 }
 
-// folder is all bytes of all files.
-func folder(t *testing.T, dir string) (all []byte) {
+// folderBytes returns the contents of all files.
+func folderBytes(t *testing.T, dir string) (all []byte) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
@@ -48,7 +48,7 @@
 	return all
 }
 
-func TestWhatIsWrittenOutlastsTheProcess(t *testing.T) {
+func TestRecordsSurviveReopening(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	first, err := l.Start()
@@ -65,33 +65,33 @@
 	assert.Equal(t, Identity{first.Folder, 2}, id)
 	n, err := l.Epoch("view")
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), n, "an epoch never falls")
+	assert.Equal(t, uint64(7), n, "an epoch never decreases")
 	var got []string
 	require.NoError(t, l.Each(Purge, func(r Record) error {
 		got = append(got, fmt.Sprintf("%s v%d %s", r.Key, r.Version, r.Value))
 		return nil
 	}))
 	assert.Equal(t, []string{"a v1 ", "b v3 two"}, got)
-	strange := errors.New("a version that its module does not know")
+	strange := errors.New("unknown version")
 	assert.Equal(t, strange, l.Each(Purge, func(Record) error { return strange }))
 	other := open(t, t.TempDir())
 	id, err = other.Start()
 	require.NoError(t, err)
-	assert.NotEqual(t, first.Folder, id.Folder, "each folder draws its own")
+	assert.NotEqual(t, first.Folder, id.Folder, "each folder has its own ID")
 }
 
-func TestATornRecordIsCutWithANote(t *testing.T) {
+func TestCorruptRecordIsDroppedWithNote(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	require.NoError(t, l.Put(Record{Purge, "good", 1, []byte("a")}, Record{Purge, "bent", 1, []byte("fence 5")}, Record{Purge, "short", 1, nil}))
 	require.NoError(t, l.Close())
-	raw(t, dir, func(tx *bbolt.Tx) error {
+	editFile(t, dir, func(tx *bbolt.Tx) error {
 		b := tx.Bucket([]byte(Purge))
 		v := append([]byte(nil), b.Get([]byte("bent"))...)
 		v[len(v)-1]++
 		return errors.Join(b.Put([]byte("bent"), v), b.Put([]byte("short"), []byte{1}), b.Put([]byte("moved"), b.Get([]byte("good"))))
 	})
-	l, notes, err := Open(dir, most)
+	l, notes, err := Open(dir, testMaxBytes)
 	require.NoError(t, err)
 	assert.Len(t, notes, 3)
 	assert.Contains(t, strings.Join(notes, ";"), `record "bent" of purge is not whole`)
@@ -105,7 +105,7 @@
 	open(t, dir)
 }
 
-func TestAFileOfAnotherFormOrTornIsRefusedUnchanged(t *testing.T) {
+func TestUnreadableFileIsRejectedUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	l := open(t, dir)
@@ -115,23 +115,23 @@
 	require.NoError(t, l.Close())
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for _, n := range []int{1, 5000, 20_000, len(whole) / 2} { // a file that ends early faults where it is mapped
+	for _, n := range []int{1, 5000, 20_000, len(whole) / 2} { // reading a truncated file faults where it is mapped
 		require.NoError(t, os.WriteFile(path, whole[:n], 0o600))
-		_, _, err := Open(dir, most)
+		_, _, err := Open(dir, testMaxBytes)
 		require.Error(t, err, n)
 	}
 	require.NoError(t, os.WriteFile(path, whole, 0o600))
-	raw(t, dir, func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(formKey, []byte("2")) })
+	editFile(t, dir, func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(formatKey, []byte("2")) })
 	before, err := os.ReadFile(path)
 	require.NoError(t, err)
-	_, _, err = Open(dir, most)
-	require.ErrorIs(t, err, ErrForm)
+	_, _, err = Open(dir, testMaxBytes)
+	require.ErrorIs(t, err, ErrFormat)
 	after, err := os.ReadFile(path)
 	require.NoError(t, err)
 	assert.Equal(t, before, after)
 }
 
-func TestTheFolderStaysWithinItsBound(t *testing.T) {
+func TestFileStaysWithinSizeLimit(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -151,7 +151,7 @@
 			require.NoError(t, err)
 			held[key] = size
 		}
-		require.LessOrEqual(t, l.Size(), int64(most*6/10), "so that a compacted one finds room beside it")
+		require.LessOrEqual(t, l.Size(), int64(testMaxBytes*6/10), "a compacted copy must fit beside it")
 	}
 	assert.NotZero(t, full)
 	seen := 0
@@ -160,15 +160,15 @@
 		assert.Len(t, r.Value, held[r.Key])
 		return nil
 	}))
-	assert.Len(t, held, seen, "a refused record changes nothing")
-	live := l.live
+	assert.Len(t, held, seen, "a rejected record changes nothing")
+	live := l.liveBytes
 	require.NoError(t, l.Close())
-	assert.Equal(t, live, open(t, dir).live)
-	assert.ErrorIs(t, l.Put(Record{Purge, "", 1, nil}), ErrSize)
-	assert.ErrorIs(t, l.Put(Record{Purge, "a", 1, make([]byte, mostValue+1)}), ErrSize)
+	assert.Equal(t, live, open(t, dir).liveBytes)
+	assert.ErrorIs(t, l.Put(Record{Purge, "", 1, nil}), ErrTooLarge)
+	assert.ErrorIs(t, l.Put(Record{Purge, "a", 1, make([]byte, maxValueBytes+1)}), ErrTooLarge)
 }
 
-func TestNothingOfAWipedRecordIsLeft(t *testing.T) {
+func TestWipeLeavesNoBytes(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	secret := bytes.Repeat([]byte("the tenant's own words "), 20)
@@ -177,24 +177,24 @@
 		require.NoError(t, l.Put(Record{Channels, "wiped", 1, append([]byte(fmt.Sprint(i)), secret...)}, Record{Channels, fmt.Sprint("k", i), 1, nil}))
 	}
 	require.NoError(t, l.Delete(Channels, "wiped"))
-	assert.Contains(t, string(folder(t, dir)), "the tenant's own words", "Delete alone leaves its bytes in free pages")
+	assert.Contains(t, string(folderBytes(t, dir)), "the tenant's own words", "Delete leaves bytes in free pages")
 	held, err := os.Open(filepath.Join(dir, fileName)) // the old file, which has no name afterwards
 	require.NoError(t, err)
 	defer held.Close()
 	require.NoError(t, l.Wipe(Channels, "k3"))
-	assert.NotContains(t, string(folder(t, dir)), "the tenant's own words")
-	assert.Contains(t, string(folder(t, dir)), "of another tenant")
+	assert.NotContains(t, string(folderBytes(t, dir)), "the tenant's own words")
+	assert.Contains(t, string(folderBytes(t, dir)), "of another tenant")
 	old := make([]byte, 1<<20)
 	n, err := held.Read(old)
 	require.NoError(t, err)
-	assert.Equal(t, make([]byte, n), old[:n], "its blocks were overwritten before they were given back")
+	assert.Equal(t, make([]byte, n), old[:n], "its blocks are overwritten before they are freed")
 	_, found, err := l.Get(Channels, "k4")
 	require.NoError(t, err)
 	assert.True(t, found)
 }
 
-// A process that dies at any step of replacing the file leaves a folder that opens, with what was in force.
-func TestADeathWhileTheFileIsReplacedLosesNothing(t *testing.T) {
+// A process that dies at any step of replacing the file leaves a folder that opens with the data in force.
+func TestCrashWhileReplacingFileLosesNothing(t *testing.T) {
 	for step, die := range []func(dir string) error{
 		func(dir string) error {
 			return os.WriteFile(filepath.Join(dir, newName), []byte("half written"), 0o600)
--- a/internal/fleetlog/record.go
+++ b/internal/fleetlog/record.go
@@ -9,9 +9,10 @@
 	"ravenlink/internal/ranked"
 )
 
-const sealed = 6 // bytes before a value: its version and the checksum
+const headerBytes = 6 // length of the header before a value: version and checksum
 
-// Record is one that a module keeps. Version is of the value's form and the module's to read: it refuses one that it does not know.
+// Record is one record of a module. Version is the format of the value; the module that owns the record must reject
+// versions it does not know.
 type Record struct {
 	Bucket  Bucket
 	Key     string
@@ -19,33 +20,33 @@
 	Value   []byte
 }
 
-// seal puts version and checksum before a value.
-func seal(r Record) []byte {
-	v := binary.BigEndian.AppendUint16(make([]byte, 0, sealed+len(r.Value)), r.Version)
-	v = binary.BigEndian.AppendUint32(v, sum(r))
+// encode prepends version and checksum to the value.
+func encode(r Record) []byte {
+	v := binary.BigEndian.AppendUint16(make([]byte, 0, headerBytes+len(r.Value)), r.Version)
+	v = binary.BigEndian.AppendUint32(v, checksum(r))
 	return append(v, r.Value...)
 }
 
-// sum is over all that a record says, and where it stands.
-func sum(r Record) uint32 {
+// checksum covers the record's version, bucket, key and value.
+func checksum(r Record) uint32 {
 	head := binary.BigEndian.AppendUint16(nil, r.Version)
 	head = binary.BigEndian.AppendUint16(append(append(head, r.Bucket...), 0), uint16(len(r.Key)))
 	return crc32.Update(crc32.ChecksumIEEE(append(head, r.Key...)), crc32.IEEETable, r.Value)
 }
 
-// unseal reads a value; the record is a copy.
-func unseal(b Bucket, key, v []byte) (r Record, whole bool) {
-	if len(v) < sealed {
+// decode parses a stored value and verifies its checksum. The record does not alias v.
+func decode(b Bucket, key, v []byte) (r Record, valid bool) {
+	if len(v) < headerBytes {
 		return r, false
 	}
-	r = Record{b, string(key), binary.BigEndian.Uint16(v), append([]byte(nil), v[sealed:]...)}
-	return r, sum(r) == binary.BigEndian.Uint32(v[2:])
+	r = Record{b, string(key), binary.BigEndian.Uint16(v), append([]byte(nil), v[headerBytes:]...)}
+	return r, checksum(r) == binary.BigEndian.Uint32(v[2:])
 }
 
-// cost is what a record counts towards the bound.
+// cost is the number of bytes that a record counts towards the limit.
 func cost(key, v []byte) int64 {
-	n := int64(len(key) + len(v) + extra)
-	if n > bigValue {
+	n := int64(len(key) + len(v) + recordOverhead)
+	if n > largeRecord {
 		n *= 2
 	}
 	return n
@@ -54,39 +55,39 @@
 func (l *Log) read(f func(*bbolt.Tx) error) error {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return wrap(l.db.View(f))
+	return wrapError(l.db.View(f))
 }
 
-// write changes the file in one step, and has it compacted when it has grown too long.
+// write runs one transaction, then compacts the file if it has grown too long.
 func (l *Log) write(f func(*bbolt.Tx) error) error {
-	ranked.Free("writing to the fleet's log")
+	ranked.AssertNoneHeld("writing to the fleet's log")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.live
+	before := l.liveBytes
 	if err := l.db.Update(f); err != nil {
-		l.live = before
-		return wrap(err)
+		l.liveBytes = before
+		return wrapError(err)
 	}
-	if l.size() <= l.most/filePart {
+	if l.size() <= l.maxBytes/compactShare {
 		return nil
 	}
-	return wrap(l.compact())
+	return wrapError(l.compact())
 }
 
-// Put writes records down in one step: all or none.
+// Put writes records in one transaction: all or none.
 func (l *Log) Put(rs ...Record) error {
 	for _, r := range rs {
-		if len(r.Key) == 0 || len(r.Key) > mostKey || len(r.Value) > mostValue {
-			return ErrSize
+		if len(r.Key) == 0 || len(r.Key) > maxKeyBytes || len(r.Value) > maxValueBytes {
+			return ErrTooLarge
 		}
 	}
 	return l.write(func(tx *bbolt.Tx) error {
 		for _, r := range rs {
-			b, k, v := tx.Bucket([]byte(r.Bucket)), []byte(r.Key), seal(r)
+			b, k, v := tx.Bucket([]byte(r.Bucket)), []byte(r.Key), encode(r)
 			if old := b.Get(k); old != nil {
-				l.live -= cost(k, old)
+				l.liveBytes -= cost(k, old)
 			}
-			if l.live += cost(k, v); l.live > l.room() {
+			if l.liveBytes += cost(k, v); l.liveBytes > l.capacity() {
 				return ErrFull
 			}
 			if err := b.Put(k, v); err != nil {
@@ -97,27 +98,27 @@
 	})
 }
 
-// Room is how many bytes of records a log of so many bytes may hold.
-func Room(most int64) int64 { return (most - 2*base) / livePart }
+// Capacity returns how many bytes of records a log with the given size limit may hold.
+func Capacity(maxBytes int64) int64 { return (maxBytes - 2*emptyFileBytes) / recordShare }
 
-func (l *Log) room() int64 { return Room(l.most) }
+func (l *Log) capacity() int64 { return Capacity(l.maxBytes) }
 
-// Get finds a record.
+// Get returns a record.
 func (l *Log) Get(b Bucket, key string) (r Record, found bool, err error) {
 	err = l.read(func(tx *bbolt.Tx) error {
 		if v := tx.Bucket([]byte(b)).Get([]byte(key)); v != nil {
-			r, found = unseal(b, []byte(key), v)
+			r, found = decode(b, []byte(key), v)
 		}
 		return nil
 	})
 	return r, found, err
 }
 
-// Each walks a bucket's records by key. An error of f ends the walk and is given back as it is.
+// Each calls f for a bucket's records in key order. An error of f stops the iteration and is returned unwrapped.
 func (l *Log) Each(b Bucket, f func(Record) error) (err error) {
 	stopped := l.read(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte(b)).ForEach(func(k, v []byte) error {
-			if r, whole := unseal(b, k, v); whole {
+			if r, valid := decode(b, k, v); valid {
 				err = f(r)
 			}
 			return err
@@ -129,18 +130,19 @@
 	return stopped
 }
 
-// Delete forgets records. Their bytes may stay in the file until it is compacted: Wipe is for those that must go.
+// Delete removes records. Their bytes may remain in the file until it is compacted; use Wipe for data that must be
+// erased.
 func (l *Log) Delete(b Bucket, keys ...string) error {
-	return l.write(func(tx *bbolt.Tx) error { return l.drop(tx, b, keys) })
+	return l.write(func(tx *bbolt.Tx) error { return l.deleteKeys(tx, b, keys) })
 }
 
-func (l *Log) drop(tx *bbolt.Tx, b Bucket, keys []string) error {
+func (l *Log) deleteKeys(tx *bbolt.Tx, b Bucket, keys []string) error {
 	for _, k := range keys {
-		at := tx.Bucket([]byte(b))
-		if old := at.Get([]byte(k)); old != nil {
-			l.live -= cost([]byte(k), old)
+		bucket := tx.Bucket([]byte(b))
+		if old := bucket.Get([]byte(k)); old != nil {
+			l.liveBytes -= cost([]byte(k), old)
 		}
-		if err := at.Delete([]byte(k)); err != nil {
+		if err := bucket.Delete([]byte(k)); err != nil {
 			return err
 		}
 	}
--- a/internal/fleetlog/wipe.go
+++ b/internal/fleetlog/wipe.go
@@ -13,19 +13,19 @@
 	"ravenlink/internal/ranked"
 )
 
-// Wipe forgets records so that none of their bytes is left in the folder's files when it returns: the file is written anew without
-// them, and the old one overwritten.
+// Wipe removes records and leaves none of their bytes in the folder's files: the file is rewritten without them, and
+// the old one is overwritten.
 func (l *Log) Wipe(b Bucket, keys ...string) error {
-	ranked.Free("writing to the fleet's log")
+	ranked.AssertNoneHeld("writing to the fleet's log")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.db.Update(func(tx *bbolt.Tx) error { return l.drop(tx, b, keys) }); err != nil {
-		return wrap(err)
+	if err := l.db.Update(func(tx *bbolt.Tx) error { return l.deleteKeys(tx, b, keys) }); err != nil {
+		return wrapError(err)
 	}
-	return wrap(l.compact())
+	return wrapError(l.compact())
 }
 
-// Size is the file's, in bytes.
+// Size returns the file's size in bytes.
 func (l *Log) Size() int64 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -40,33 +40,33 @@
 	return info.Size()
 }
 
-// compact writes the file anew without what is free in it and puts it in the old one's place, which it overwrites. At each moment
-// fleet.db is whole: a process that dies here leaves further files that the next Open sweeps.
+// compact copies the file without its free pages and replaces the old file, which it overwrites. fleet.db is complete
+// at every moment: a process that dies here leaves extra files that the next Open removes.
 func (l *Log) compact() error {
 	to, err := openFile(l.path(newName), new(*os.File))
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(bbolt.Compact(to, l.db, 0), to.Sync(), to.Close()); err != nil {
-		return errors.Join(err, erase(l.path(newName)))
+		return errors.Join(err, overwriteAndRemove(l.path(newName)))
 	}
 	if err := l.db.Close(); err != nil {
 		return err
 	}
-	if err := l.swap(); err != nil {
+	if err := l.replaceFile(); err != nil {
 		return errors.Join(err, l.reopen())
 	}
 	return l.reopen()
 }
 
-func (l *Log) swap() error {
+func (l *Log) replaceFile() error {
 	if err := os.Link(l.path(fileName), l.path(oldName)); err != nil {
 		return err
 	}
 	if err := os.Rename(l.path(newName), l.path(fileName)); err != nil {
 		return err
 	}
-	return erase(l.path(oldName))
+	return overwriteAndRemove(l.path(oldName))
 }
 
 func (l *Log) reopen() (err error) {
@@ -77,9 +77,10 @@
 	return err
 }
 
-// erase overwrites a file and removes it. One that has another name still (a process died between link and rename) is only removed.
-func erase(path string) error {
-	if sole, err := soleName(path); err != nil {
+// overwriteAndRemove overwrites a file with zeros and removes it. A file that still has another name (after a crash
+// between link and rename) is only removed.
+func overwriteAndRemove(path string) error {
+	if sole, err := isOnlyName(path); err != nil {
 		return err
 	} else if !sole {
 		return os.Remove(path)
@@ -90,7 +91,7 @@
 	}
 	info, err := f.Stat()
 	if err == nil {
-		_, err = io.CopyN(f, zeros{}, info.Size())
+		_, err = io.CopyN(f, zeroReader{}, info.Size())
 	}
 	if err := errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return fmt.Errorf("overwriting %s: %w", path, err)
@@ -98,23 +99,24 @@
 	return os.Remove(path)
 }
 
-// zeros reads as nothing but zeros.
-type zeros struct{}
+// zeroReader reads an endless stream of zeros.
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
 
-// soleName tells whether a file is none but what its name says: the file in force may have it as a second one.
-func soleName(path string) (bool, error) {
+// isOnlyName reports whether path is not a second name of the file in use, as it is after a crash between link and
+// rename.
+func isOnlyName(path string) (bool, error) {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return false, err
 	}
-	force, err := os.Lstat(filepath.Join(filepath.Dir(path), fileName))
+	current, err := os.Lstat(filepath.Join(filepath.Dir(path), fileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return true, nil
 	}
-	return !os.SameFile(info, force), err
+	return !os.SameFile(info, current), err
 }
--- a/internal/fleettest/build_rig_test.go
+++ b/internal/fleettest/build_rig_test.go
@@ -18,7 +18,7 @@
 	err  error
 }
 
-// Binary builds the program once a test run, and tells where it is.
+// Binary builds the program once per test run and returns its path.
 func Binary(t testing.TB) string {
 	t.Helper()
 	built.once.Do(func() {
@@ -35,16 +35,16 @@
 	return filepath.Join(built.dir, "ravenlink")
 }
 
-// sideBySide is how many rigs run at once where nobody says otherwise: most of their time they wait.
-const sideBySide = "12"
+// defaultParallel is how many rigs run at once unless -test.parallel is given. A rig spends most of its time waiting.
+const defaultParallel = "12"
 
-// Main runs a package's tests, removes what was built for them, and fails if a goroutine is left.
+// Main runs the tests of a package, removes the built program, and fails if a goroutine is left running.
 func Main(m *testing.M) {
 	flag.Parse()
-	said := false
-	flag.Visit(func(f *flag.Flag) { said = said || f.Name == "test.parallel" })
-	if !said {
-		_ = flag.Set("test.parallel", sideBySide)
+	given := false
+	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
+	if !given {
+		_ = flag.Set("test.parallel", defaultParallel)
 	}
 	goleak.VerifyTestMain(m, goleak.Cleanup(func(code int) {
 		_ = os.RemoveAll(built.dir)
--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -1,16 +1,16 @@
 // Package fleettest runs several processes of the built program on loopback, with emulated receivers, discovery, platform and
-// clients around them and a fault proxy in every directed link between two of them, and judges what passed on the wire. All of it
-// is test files: the rig is in those named after a part of it.
+// clients, and a fault proxy on every directed link between two senders. It checks the traffic that was recorded. The package
+// consists of test files; the parts of the rig are in the files named *_rig_test.go.
 //
 //	r := New(t, Setup{Senders: 3, Destinations: []int64{7}})
 //	r.Start()
 //	c := r.Client(0)
-//	c.HandIn(Message{ID: "m1", Lane: "notice", Dst: 7})
+//	c.HandIn(Message{ID: "m1", Class: "notice", Dst: 7})
 //	r.Link("a", "b").Set(Faults{Cut: true})
 //	r.Sender("a").Kill()
 //	r.Sender("a").Start()
 //	r.UntilEnded()
-//	r.Judge()
+//	r.Check()
 //
-// No sleep decides: a test waits on conditions with Until, whose limit no good run reaches.
+// Tests don't rely on sleeps: they wait for conditions with Until, whose time limit a passing run never reaches.
 package fleettest
--- a/internal/fleettest/process_rig_test.go
+++ b/internal/fleettest/process_rig_test.go
@@ -19,79 +19,79 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Sender is one process of the program, or none while it is down.
+// Sender is one sender of the fleet, whose process runs or is down.
 type Sender struct {
-	Name     string
-	Listen   string // for clients
-	Links    string // for other senders
-	r        *Rig
-	dir      string
-	platform *platform
-	reach    map[int64]*httptest.Server // where it reaches each destination
-	cmd      *exec.Cmd
-	ended    chan struct{}
-	log      logText
-}
-
-type logText struct {
+	Name       string
+	ClientAddr string // where clients connect
+	LinkAddr   string // where other senders post, by way of a Link
+	r          *Rig
+	dir        string
+	platform   *platform
+	receivers  map[int64]*httptest.Server // this sender's address of each destination
+	cmd        *exec.Cmd
+	exited     chan struct{}
+	log        logBuffer
+}
+
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logText) read() string {
+func (l *logBuffer) read() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Log is what it has written to standard error so far, over all its processes.
+// Log returns what all its processes have written to standard error so far.
 func (s *Sender) Log() string { return s.log.read() }
 
-// Folder is the state folder.
+// Folder returns the path of the state folder.
 func (s *Sender) Folder() string { return filepath.Join(s.dir, "state") }
 
-func (s *Sender) act(what string) {
+func (s *Sender) recordAction(what string) {
 	at := s.r.rec.now()
-	s.r.rec.write(func(rec *Record) { rec.Acts = append(rec.Acts, Act{at, s.Name, what}) })
+	s.r.rec.update(func(rec *Record) { rec.Actions = append(rec.Actions, Action{at, s.Name, what}) })
 }
 
-// Start runs the program and waits until it answers clients.
+// Start starts the process and waits until it answers clients.
 func (s *Sender) Start() {
 	s.r.t.Helper()
 	s.Spawn()
 	s.r.Until(s.Name+" answers", func(Record) bool { return s.ping() })
 }
 
-// Spawn runs the program and waits for nothing.
+// Spawn starts the process without waiting for it.
 func (s *Sender) Spawn() {
 	s.r.t.Helper()
-	require.Nil(s.r.t, s.cmd, "%s runs already", s.Name)
+	require.Nil(s.r.t, s.cmd, "%s is already running", s.Name)
 	start := fmt.Sprintf(`{"name":"%s","discovery":"%s","seed":"%016x","limits":{"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},`+
-		`"known":%s,"settings":%s}`, s.Name, s.platform.server.Listener.Addr(), s.r.setup.Seed<<8|uint64(s.Name[0]), s.known(), s.r.setup.Settings)
+		`"known":%s,"settings":%s}`, s.Name, s.platform.server.Listener.Addr(), s.r.setup.Seed<<8|uint64(s.Name[0]), s.initialList(), s.r.setup.Settings)
 	s.write("config.json", start)
 	require.NoError(s.r.t, os.MkdirAll(s.Folder(), 0o700))
 	args := []string{}
-	if s.r.setup.Operator != nil {
-		s.write("operator.toml", s.r.setup.Operator(s))
+	if s.r.setup.OperatorFile != nil {
+		s.write("operator.toml", s.r.setup.OperatorFile(s))
 		args = append(args, "--operator", filepath.Join(s.dir, "operator.toml"))
 	}
 	s.cmd = exec.Command(Binary(s.r.t), args...)
 	s.cmd.Env = append(os.Environ(), "RAVENLINK_LOG="+cmp.Or(os.Getenv("RAVENLINK_LOG"), "info"), "RELAY_CONFIG="+filepath.Join(s.dir, "config.json"), "RELAY_STATE="+s.Folder(),
-		"RELAY_LISTEN="+s.Listen, "RELAY_DISCOVERY="+s.platform.server.Listener.Addr().String(), "RELAY_NAME="+s.Name)
+		"RELAY_LISTEN="+s.ClientAddr, "RELAY_DISCOVERY="+s.platform.server.Listener.Addr().String(), "RELAY_NAME="+s.Name)
 	s.cmd.Stderr = &s.log
-	s.act("start")
+	s.recordAction("start")
 	require.NoError(s.r.t, s.cmd.Start())
-	s.ended = make(chan struct{})
-	go func(cmd *exec.Cmd, ended chan struct{}) {
+	s.exited = make(chan struct{})
+	go func(cmd *exec.Cmd, exited chan struct{}) {
 		_ = cmd.Wait()
-		close(ended)
-	}(s.cmd, s.ended)
+		close(exited)
+	}(s.cmd, s.exited)
 }
 
 func (s *Sender) write(name, text string) {
@@ -101,83 +101,83 @@
 func (s *Sender) signal(what string, sig os.Signal) {
 	s.r.t.Helper()
 	require.NotNil(s.r.t, s.cmd, "%s is down", s.Name)
-	s.act(what)
+	s.recordAction(what)
 	require.NoError(s.r.t, s.cmd.Process.Signal(sig))
 }
 
-// Running tells whether there is a process, stopped or not.
+// Running reports whether there is a process, which may be stopped.
 func (s *Sender) Running() bool { return s.cmd != nil }
 
-// Kill ends the process at once, by SIGKILL, and waits until the receivers know: what they answer from now on reaches nobody.
+// Kill ends the process with SIGKILL and waits until the receivers have seen its connections close: no answer reaches it from then on.
 func (s *Sender) Kill() {
 	s.r.t.Helper()
 	s.signal("kill", syscall.SIGKILL)
-	<-s.ended
-	s.gone()
+	<-s.exited
+	s.awaitDisconnect()
 }
 
-// gone waits until the receivers know that an ended process is gone: one that has not seen its caller's connection end yet answers as it is told
-// next, and a message would count as delivered.
-func (s *Sender) gone() {
+// awaitDisconnect waits until the receivers have seen the connections of an ended process close. A receiver that has not would still
+// answer its call, and the message would count as delivered.
+func (s *Sender) awaitDisconnect() {
 	s.r.t.Helper()
 	s.cmd = nil
-	s.r.Until("receivers know that "+s.Name+" is gone", func(Record) bool { return s.r.rec.held(s.Name) == 0 })
+	s.r.Until("receivers see that "+s.Name+" has ended", func(Record) bool { return s.r.rec.openCalls(s.Name) == 0 })
 }
 
-// Term has the process drain, and waits for its end, which must be a good one, and as Kill does for the receivers.
+// Term lets the process drain, waits until it has ended with exit code 0, and then for the receivers as Kill does.
 func (s *Sender) Term() {
 	s.r.t.Helper()
 	s.signal("term", syscall.SIGTERM)
-	<-s.ended
+	<-s.exited
 	require.Zero(s.r.t, s.cmd.ProcessState.ExitCode(), s.Log())
-	s.gone()
+	s.awaitDisconnect()
 }
 
-// Stop halts the process where it is, and waits until all of it stands; Cont has it go on.
+// Stop suspends the process with SIGSTOP and waits until it is stopped. Cont resumes it.
 func (s *Sender) Stop() {
 	s.r.t.Helper()
 	s.signal("stop", syscall.SIGSTOP)
 	stat := fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid)
-	s.r.Until(s.Name+" stands", func(Record) bool {
+	s.r.Until(s.Name+" is stopped", func(Record) bool {
 		text, err := os.ReadFile(stat)
 		return err == nil && bytes.Contains(text, []byte(") T "))
 	})
 }
 
-// Cont has a stopped process go on.
+// Cont resumes a stopped process.
 func (s *Sender) Cont() { s.signal("cont", syscall.SIGCONT) }
 
-// sliced does something while the process gets little of a core: it stands for a time, and runs for sliceRuns, in turns.
-func (s *Sender) sliced(stood time.Duration, do func()) {
+// withTimeSlices calls do while the process gets little of a core: it is stopped for a time and runs for timeSlice in turns.
+func (s *Sender) withTimeSlices(stopped time.Duration, do func()) {
 	done, process := make(chan struct{}), s.cmd.Process
 	var turns sync.WaitGroup
 	turns.Go(func() {
 		for {
 			_ = process.Signal(syscall.SIGSTOP)
-			time.Sleep(stood)
+			time.Sleep(stopped)
 			_ = process.Signal(syscall.SIGCONT)
 			select {
 			case <-done:
 				return
-			case <-time.After(sliceRuns):
+			case <-time.After(timeSlice):
 			}
 		}
 	})
-	defer turns.Wait() // also where the test ends in do: the process must run on, and no signal go to another of its id
+	defer turns.Wait() // also if do ends the test: the process must resume, and no signal may go to another process with its ID
 	defer close(done)
 	do()
 }
 
-const sliceRuns = 300 * time.Microsecond
+const timeSlice = 300 * time.Microsecond
 
-// Keep copies the folder as it is, under a name.
-func (s *Sender) Keep(name string) {
-	require.NoError(s.r.t, os.RemoveAll(filepath.Join(s.dir, "kept-"+name)))
-	copyLive(s.r.t, filepath.Join(s.dir, "kept-"+name), s.Folder())
+// SaveFolder copies the state folder as it is, under a name.
+func (s *Sender) SaveFolder(name string) {
+	require.NoError(s.r.t, os.RemoveAll(filepath.Join(s.dir, "saved-"+name)))
+	copyLive(s.r.t, filepath.Join(s.dir, "saved-"+name), s.Folder())
 }
 
-// copyLive copies the folder of a process that may be running: a file that took another's name since the folder was listed has the copy made
-// again.
+// copyLive copies the folder of a process that may be running. It starts again if a file was renamed or removed since the folder was
+// listed.
 func copyLive(t testing.TB, to, from string) {
 	t.Helper()
 	for {
@@ -190,24 +190,24 @@
 	}
 }
 
-// Restore puts a kept copy in the folder's place. The process must be down.
-func (s *Sender) Restore(name string) {
-	s.Wipe()
-	require.NoError(s.r.t, os.CopyFS(s.Folder(), os.DirFS(filepath.Join(s.dir, "kept-"+name))))
-	s.act("restore " + name)
+// RestoreFolder replaces the state folder by a saved copy. The process must be down.
+func (s *Sender) RestoreFolder(name string) {
+	s.WipeFolder()
+	require.NoError(s.r.t, os.CopyFS(s.Folder(), os.DirFS(filepath.Join(s.dir, "saved-"+name))))
+	s.recordAction("restore " + name)
 }
 
-// Holds finds the files of the folder in which these bytes stand anywhere, dead space included.
-func (s *Sender) Holds(bytesOf string) (files []string) {
+// Grep lists the files of the state folder that contain a text anywhere, also in unused space.
+func (s *Sender) Grep(wanted string) (files []string) {
 	err := filepath.WalkDir(s.Folder(), func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
 		}
 		text, err := os.ReadFile(path)
-		if errors.Is(err, fs.ErrNotExist) { // a running sender removes some
+		if errors.Is(err, fs.ErrNotExist) { // a running sender removes files
 			return nil
 		}
-		if bytes.Contains(text, []byte(bytesOf)) {
+		if bytes.Contains(text, []byte(wanted)) {
 			files = append(files, e.Name())
 		}
 		return err
@@ -216,14 +216,14 @@
 	return files
 }
 
-// Wipe removes the folder. The process must be down.
-func (s *Sender) Wipe() {
-	require.Nil(s.r.t, s.cmd, "%s runs", s.Name)
+// WipeFolder removes the state folder. The process must be down.
+func (s *Sender) WipeFolder() {
+	require.Nil(s.r.t, s.cmd, "%s is running", s.Name)
 	require.NoError(s.r.t, os.RemoveAll(s.Folder()))
-	s.act("wipe")
+	s.recordAction("wipe")
 }
 
-// Peers are the other senders, as an operator's file lists them: name and the address of the directed link.
+// Peers returns name and link address of each other sender, as an operator's file lists them.
 func (s *Sender) Peers() (peers [][2]string) {
 	for _, o := range s.r.senders {
 		if o != s {
@@ -233,11 +233,11 @@
 	return peers
 }
 
-// LinksTOML is the links' part of an operator's file as a table of that name, such as fleet, ended by its array of peers: more settings
-// of the same table have to be given before it ends, by more.
+// LinksTOML returns the table of an operator's file that configures the links, such as fleet. It ends with the array of peers, so
+// further settings of the same table have to be passed as more.
 func (s *Sender) LinksTOML(table string, more ...string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[%s]\nname = %q\nself = %q\nlisten = %q\n", table, "east", s.Name, s.Links)
+	fmt.Fprintf(&b, "[%s]\nname = %q\nself = %q\nlisten = %q\n", table, "east", s.Name, s.LinkAddr)
 	for _, line := range more {
 		fmt.Fprintln(&b, line)
 	}
--- a/internal/fleettest/proxy_rig_test.go
+++ b/internal/fleettest/proxy_rig_test.go
@@ -14,21 +14,21 @@
 	"ravenlink/internal/links"
 )
 
-// Faults are what is wrong with one directed link. The other direction has its own, so each cut is a one-way cut.
+// Faults are the faults of one directed link. The opposite link has its own, so a cut here is a one-way cut.
 type Faults struct {
-	Cut        bool          `json:",omitempty"` // connections are cut as they come
-	Mute       bool          `json:",omitempty"` // posts arrive, their answers do not
-	HalfOpen   bool          `json:",omitempty"` // connections are accepted; nothing passes and nothing is answered
-	Delay      time.Duration `json:",omitempty"` // before a post goes on
-	Loss       float64       `json:",omitempty"` // share of posts whose connection is cut before they go on
-	Doubles    float64       `json:",omitempty"` // share of posts that go on twice
-	Disorder   float64       `json:",omitempty"` // share of posts of which a copy goes on again after a later one
-	BytesEach  int           `json:",omitempty"` // throttle: of a post within Each
-	Each       time.Duration `json:",omitempty"`
-	ReplayWait time.Duration `json:",omitempty"` // before a copy goes on
+	Cut              bool          `json:",omitempty"`          // connections are closed without an answer
+	DropAnswers      bool          `json:"Mute,omitempty"`      // posts arrive, their answers don't
+	HalfOpen         bool          `json:",omitempty"`          // connections are accepted, but nothing is forwarded or answered
+	Delay            time.Duration `json:",omitempty"`          // before a post is forwarded
+	Loss             float64       `json:",omitempty"`          // share of posts whose connection is closed instead of forwarding them
+	Duplication      float64       `json:"Doubles,omitempty"`   // share of posts that are forwarded twice
+	Reordering       float64       `json:"Disorder,omitempty"`  // share of posts of which a copy is forwarded again after a later one
+	ThrottleBytes    int           `json:"BytesEach,omitempty"` // so many bytes of a post are forwarded per ThrottleInterval; 0 for no limit
+	ThrottleInterval time.Duration `json:"Each,omitempty"`
+	ReplayDelay      time.Duration `json:"ReplayWait,omitempty"` // before such a copy is forwarded
 }
 
-// Link stands between two senders, in one direction.
+// Link is a proxy between two senders, in one direction.
 type Link struct {
 	From, To string
 	r        *Rig
@@ -36,29 +36,29 @@
 	client   *http.Client
 	target   string
 
-	mu      sync.Mutex // before the recorder's
-	rng     *rand.Rand
-	faults  Faults
-	changed context.Context // ends with each change
-	change  context.CancelFunc
-	old     []byte // waits for a later post
-	late    sync.WaitGroup
-	closed  bool
+	mu         sync.Mutex // taken before the recorder's
+	rng        *rand.Rand
+	faults     Faults
+	changed    context.Context // cancelled by each change of faults
+	change     context.CancelFunc
+	replayNext []byte // a copy of a post, to be forwarded after the next one
+	replays    sync.WaitGroup
+	closed     bool
 }
 
 func newLink(r *Rig, from, to, target string, seed uint64) *Link {
 	l := &Link{From: from, To: to, r: r, target: target, rng: rand.New(rand.NewPCG(seed, uint64(from[0])<<8|uint64(to[0]))),
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
-			DialContext: (&net.Dialer{Timeout: long}).DialContext}}}
+			DialContext: (&net.Dialer{Timeout: waitLimit}).DialContext}}}
 	l.changed, l.change = context.WithCancel(context.Background())
-	l.server = newServer(http.HandlerFunc(l.pass))
+	l.server = newServer(http.HandlerFunc(l.handle))
 	return l
 }
 
-// Addr is where From reaches To.
+// Addr returns the address at which From reaches To.
 func (l *Link) Addr() string { return l.server.Listener.Addr().String() }
 
-// Set changes what is wrong with the link. Posts that are held go on, or are cut.
+// Set replaces the faults of the link. Posts that are delayed are forwarded at once, and the connections of held ones are closed.
 func (l *Link) Set(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,31 +74,31 @@
 	l.mu.Unlock()
 	l.server.CloseClientConnections()
 	l.server.Close()
-	l.late.Wait()
+	l.replays.Wait()
 	l.client.CloseIdleConnections()
 }
 
-// plan is what happens to one post, drawn once.
+// plan is what happens to one post. Its random choices are made once.
 type plan struct {
 	Faults
-	lose, double bool
-	replay       []byte
-	changed      context.Context
+	drop, duplicate bool
+	replay          []byte
+	changed         context.Context
 }
 
 func (l *Link) plan(body []byte) plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := plan{Faults: l.faults, changed: l.changed, replay: l.old}
-	p.lose, p.double = l.rng.Float64() < p.Loss, l.rng.Float64() < p.Doubles
-	l.old = nil
-	if l.rng.Float64() < p.Disorder {
-		l.old = body
+	p := plan{Faults: l.faults, changed: l.changed, replay: l.replayNext}
+	p.drop, p.duplicate = l.rng.Float64() < p.Loss, l.rng.Float64() < p.Duplication
+	l.replayNext = nil
+	if l.rng.Float64() < p.Reordering {
+		l.replayNext = body
 	}
 	return p
 }
 
-func (l *Link) pass(out http.ResponseWriter, in *http.Request) {
+func (l *Link) handle(out http.ResponseWriter, in *http.Request) {
 	body, err := io.ReadAll(in.Body)
 	if err != nil {
 		return
@@ -106,60 +106,60 @@
 	p := l.plan(body)
 	switch {
 	case p.Cut:
-		l.told("cut", body)
+		l.record("cut", body)
 		panic(http.ErrAbortHandler)
 	case p.HalfOpen:
-		l.told("held", body)
-		wait(in.Context(), p.changed, 0)
+		l.record("held", body)
+		waitUnlessChanged(in.Context(), p.changed, 0)
 		panic(http.ErrAbortHandler)
-	case p.lose:
-		l.told("lost", body)
+	case p.drop:
+		l.record("lost", body)
 		panic(http.ErrAbortHandler)
 	}
-	// What was written goes on though its sender is gone by now, as on a network.
-	travel, arrived := context.WithTimeout(context.WithoutCancel(in.Context()), long/4)
-	defer arrived()
-	slow := p.Delay
-	if p.BytesEach > 0 {
-		slow += time.Duration(len(body)/p.BytesEach) * p.Each
+	// A post that was read is forwarded even if its sender has disconnected, as on a network.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(in.Context()), waitLimit/4)
+	defer cancel()
+	delay := p.Delay
+	if p.ThrottleBytes > 0 {
+		delay += time.Duration(len(body)/p.ThrottleBytes) * p.ThrottleInterval
 	}
-	if slow > 0 && !wait(travel, p.changed, slow) {
+	if delay > 0 && !waitUnlessChanged(ctx, p.changed, delay) {
 		panic(http.ErrAbortHandler)
 	}
-	if p.double {
-		l.told("doubled", body)
-		_, _, _ = l.forward(travel, body)
+	if p.duplicate {
+		l.record("duplicated", body)
+		_, _, _ = l.forward(ctx, body)
 	}
-	status, answer, err := l.forward(travel, body)
+	status, answer, err := l.forward(ctx, body)
 	if p.replay != nil {
 		l.replay(p)
 	}
 	if err != nil {
-		l.told("unanswered", body)
+		l.record("unanswered", body)
 		panic(http.ErrAbortHandler)
 	}
-	if p.Mute {
-		l.told("unanswered", body)
+	if p.DropAnswers {
+		l.record("unanswered", body)
 		panic(http.ErrAbortHandler)
 	}
-	l.told("passed", body)
+	l.record("delivered", body)
 	out.WriteHeader(status)
 	_, _ = out.Write(answer)
 }
 
-// replay has an old post go on again, after the newer one.
+// replay forwards an old post again, after the newer one.
 func (l *Link) replay(p plan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return
 	}
-	l.late.Go(func() {
-		if p.ReplayWait > 0 && !wait(context.Background(), p.changed, p.ReplayWait) {
+	l.replays.Go(func() {
+		if p.ReplayDelay > 0 && !waitUnlessChanged(context.Background(), p.changed, p.ReplayDelay) {
 			return
 		}
-		l.told("replayed", p.replay)
-		ctx, cancel := context.WithTimeout(context.Background(), long/4)
+		l.record("replayed", p.replay)
+		ctx, cancel := context.WithTimeout(context.Background(), waitLimit/4)
 		defer cancel()
 		_, _, _ = l.forward(ctx, p.replay)
 	})
@@ -179,13 +179,14 @@
 	return res.StatusCode, answer, err
 }
 
-func (l *Link) told(fate string, body []byte) {
-	_, frames, _ := links.Peek(body) // what can't be read has none
-	l.r.rec.post(Post{l.r.rec.now(), l.From, l.To, fate, len(body), frames})
+func (l *Link) record(outcome string, body []byte) {
+	_, frames, _ := links.DecodeBody(body) // an unreadable post has none
+	l.r.rec.addPost(Post{l.r.rec.now(), l.From, l.To, outcome, len(body), frames})
 }
 
-// wait is true when the time is over; 0 means to wait until the caller leaves or the faults change.
-func wait(caller, changed context.Context, d time.Duration) bool {
+// waitUnlessChanged waits for d, or until the faults change, and returns true, or false if the caller disconnected before. With d = 0 it
+// waits until the faults change or the caller disconnects, and returns false.
+func waitUnlessChanged(caller, changed context.Context, d time.Duration) bool {
 	var over <-chan time.Time
 	if d > 0 {
 		t := time.NewTimer(d)
--- a/internal/fleettest/purge_test.go
+++ b/internal/fleettest/purge_test.go
@@ -27,20 +27,20 @@
 dst = [8]
 `
 
-// purging is a rig whose senders take orders and keep what ends undelivered; extra goes into each operator's file.
-func purging(t *testing.T, extra func() string) *Rig {
-	return New(t, Setup{Senders: 3, Destinations: []int64{acme, bee, customer}, Operator: func(s *Sender) string {
+// newPurgeRig returns a rig whose senders accept orders and keep dead letters. The result of extra is appended to each operator's file.
+func newPurgeRig(t *testing.T, extra func() string) *Rig {
+	return New(t, Setup{Senders: 3, Destinations: []int64{acme, bee, customer}, OperatorFile: func(s *Sender) string {
 		return "version = 1\n[kept]\n" + s.LinksTOML("fleet", fmt.Sprintf("orders_dst = %d", orders)) + tenantsTOML + extra()
 	}})
 }
 
-func nothing() string { return "" }
+func noExtraSettings() string { return "" }
 
-// told lists what the customer was told of an order, by the ids of messages that were delivered.
-func told(rec Record, kind string) (bodies []map[string]any) {
+// customerNotices returns the notices of one kind about an order that were delivered to the customer, without duplicates.
+func customerNotices(rec Record, kind string) (bodies []map[string]any) {
 	seen := map[string]bool{}
 	for _, c := range rec.Calls {
-		_, text, _ := strings.Cut(c.Text, "\r\n\r\n")
+		_, text, _ := strings.Cut(c.RawRequest, "\r\n\r\n")
 		b := map[string]any{}
 		if c.Dst != customer || c.Status != 200 || seen[c.ID] || json.Unmarshal([]byte(text), &b) != nil || b["purge"] != kind {
 			continue
@@ -51,22 +51,22 @@
 	return bodies
 }
 
-// take hands a message in at one sender, on a connection of its own.
-func (r *Rig) take(sender int, m Message) {
+// mustHandIn hands a message in at one sender over a new connection. It must be accepted.
+func (r *Rig) mustHandIn(sender int, m Message) {
 	r.t.Helper()
 	c := r.Client(sender)
-	defer c.Leave()
+	defer c.Close()
 	require.Equal(r.t, "+OK", c.HandIn(m), m.ID)
 }
 
-func (r *Rig) order(sender int, id string) {
+func (r *Rig) orderPurge(sender int, id string) {
 	r.t.Helper()
-	r.take(sender, Message{ID: fmt.Sprintf("order-%s-%d", id, sender), Lane: "again", Dst: orders,
+	r.mustHandIn(sender, Message{ID: fmt.Sprintf("order-%s-%d", id, sender), Class: "again", Dst: orders,
 		Body: fmt.Sprintf(`{"order":"purge","tenant":"acme","scope":"all","id":%q,"tell":{"destination":%d,"lane":"again"}}`, id, customer)})
 }
 
-// fill leaves messages of both tenants in each folder: delivered, held, and ended undelivered and kept.
-func (r *Rig) fill() {
+// fillFolders leaves messages of both tenants in each state folder: delivered ones, open ones and dead letters.
+func (r *Rig) fillFolders() {
 	r.t.Helper()
 	for i := range r.senders {
 		for _, dst := range []int64{acme, bee} {
@@ -75,132 +75,132 @@
 				body = marker
 			}
 			id := fmt.Sprintf("done-%d-%d", i, dst)
-			r.take(i, Message{ID: id, Lane: "again", Dst: dst, Body: body})
+			r.mustHandIn(i, Message{ID: id, Class: "again", Dst: dst, Body: body})
 			r.Until("one is delivered", func(rec Record) bool { return rec.Ended(id) })
 		}
 	}
 	r.Conduct(acme, Conduct{Down: true})
 	for i := range r.senders {
-		r.take(i, Message{ID: fmt.Sprint("short-", i), Lane: "again", Dst: acme, Body: marker, Within: 300 * time.Millisecond})
-		r.take(i, Message{ID: fmt.Sprint("long-", i), Lane: "again", Dst: acme, Body: marker, Within: time.Minute})
-		r.Until("one is kept", func(rec Record) bool { return rec.Ended(fmt.Sprint("short-", i)) })
+		r.mustHandIn(i, Message{ID: fmt.Sprint("short-", i), Class: "again", Dst: acme, Body: marker, Timeout: 300 * time.Millisecond})
+		r.mustHandIn(i, Message{ID: fmt.Sprint("long-", i), Class: "again", Dst: acme, Body: marker, Timeout: time.Minute})
+		r.Until("one is a dead letter", func(rec Record) bool { return rec.Ended(fmt.Sprint("short-", i)) })
 	}
 }
 
-// without leaves out the hand-ins of orders, which are no messages.
-func without(rec Record) Record {
+// withoutOrders drops the hand-ins of orders from a record: they are not messages that get delivered.
+func withoutOrders(rec Record) Record {
 	rec.HandIns = slices.DeleteFunc(slices.Clone(rec.HandIns), func(h HandIn) bool { return h.Dst == orders })
 	return rec
 }
 
-func (r *Rig) clean(s *Sender) {
+func (r *Rig) checkErased(s *Sender) {
 	r.t.Helper()
-	assert.Empty(r.t, s.Holds(marker), s.Name)
-	assert.Empty(r.t, s.Holds("d2hhdC1hY21lLXdvdWxkLWhhdmUtZ29u"), "%s, as JSON writes bytes", s.Name)
+	assert.Empty(r.t, s.Grep(marker), s.Name)
+	assert.Empty(r.t, s.Grep("d2hhdC1hY21lLXdvdWxkLWhhdmUtZ29u"), "%s, in base64 as in JSON", s.Name)
 }
 
 func TestPurgeReachesEverySender(t *testing.T) {
 	t.Parallel()
-	r := purging(t, nothing)
+	r := newPurgeRig(t, noExtraSettings)
 	r.Start()
-	r.fill()
+	r.fillFolders()
 	for _, s := range r.Senders() {
-		require.NotEmpty(t, s.Holds(marker))
+		require.NotEmpty(t, s.Grep(marker))
 	}
-	r.order(1, "one")
-	r.order(2, "one") // the same, handed in again elsewhere
-	r.Until("complete", func(rec Record) bool { return len(told(rec, "complete")) > 0 })
+	r.orderPurge(1, "one")
+	r.orderPurge(2, "one") // the same order, handed in again at another sender
+	r.Until("complete", func(rec Record) bool { return len(customerNotices(rec, "complete")) > 0 })
 	for _, s := range r.Senders() {
-		r.clean(s)
+		r.checkErased(s)
 	}
-	b := told(r.Record(), "complete")[0]
+	b := customerNotices(r.Record(), "complete")[0]
 	cert := b["certificate"].(map[string]any)
 	assert.EqualValues(t, 3, cert["senders"])
-	assert.Len(t, told(r.Record(), "accepted"), 1)
+	assert.Len(t, customerNotices(r.Record(), "accepted"), 1)
 	r.Conduct(acme, Conduct{})
 	newer := 0
-	r.Until("acme's newer messages are taken on", func(Record) bool {
+	r.Until("newer messages of acme are accepted", func(Record) bool {
 		newer++
 		c := r.Client(0)
-		defer c.Leave()
-		return c.HandIn(Message{ID: fmt.Sprint("newer-", newer), Lane: "again", Dst: acme, Body: "newer of acme"}) == "+OK"
+		defer c.Close()
+		return c.HandIn(Message{ID: fmt.Sprint("newer-", newer), Class: "again", Dst: acme, Body: "newer of acme"}) == "+OK"
 	})
-	r.Until("all end", func(rec Record) bool { return len(without(rec).Owed()) == 0 })
-	assert.Len(t, told(r.Record(), "complete"), 1)
-	for _, judge := range []Judge{OneEnd(Lanes), Repeats(Lanes), Waits(travel), Drains(time.Second)} {
-		assert.Empty(t, judge(without(r.Record())))
+	r.Until("all messages have ended", func(rec Record) bool { return len(withoutOrders(rec).Unended()) == 0 })
+	assert.Len(t, customerNotices(r.Record(), "complete"), 1)
+	for _, check := range []Check{ExactlyOneEnd(Classes), ForbiddenRepeats(Classes), CallsDuringRetryAfter(clockSlack), CallsWhileDraining(time.Second)} {
+		assert.Empty(t, check(withoutOrders(r.Record())))
 	}
 }
 
 func TestPurgeWaitsForOneCutOffAndOneDown(t *testing.T) {
 	t.Parallel()
-	r := purging(t, nothing)
+	r := newPurgeRig(t, noExtraSettings)
 	r.Start()
-	r.fill()
+	r.fillFolders()
 	c := r.Sender("c")
-	c.Keep("old")
+	c.SaveFolder("old")
 	c.Kill()
 	r.Cut([]string{"a"}, []string{"b"})
-	r.order(0, "one")
-	r.Until("a is clean", func(Record) bool { return len(r.Sender("a").Holds(marker)) == 0 })
-	require.NotEmpty(t, r.Sender("b").Holds(marker))
+	r.orderPurge(0, "one")
+	r.Until("a has erased the messages", func(Record) bool { return len(r.Sender("a").Grep(marker)) == 0 })
+	require.NotEmpty(t, r.Sender("b").Grep(marker))
 	r.Heal()
-	r.Until("b is clean", func(Record) bool { return len(r.Sender("b").Holds(marker)) == 0 })
-	require.Empty(t, told(r.Record(), "complete"), "c has its folder")
+	r.Until("b has erased the messages", func(Record) bool { return len(r.Sender("b").Grep(marker)) == 0 })
+	require.Empty(t, customerNotices(r.Record(), "complete"), "the order is complete although c still has its folder")
 	c.Start()
-	r.Until("complete", func(rec Record) bool { return len(told(rec, "complete")) > 0 })
-	r.clean(c)
+	r.Until("complete", func(rec Record) bool { return len(customerNotices(rec, "complete")) > 0 })
+	r.checkErased(c)
 
 	c.Kill()
-	c.Restore("old") // a copy from before, once all is over
-	require.NotEmpty(t, c.Holds(marker))
+	c.RestoreFolder("old") // a copy from before the purge, after its end
+	require.NotEmpty(t, c.Grep(marker))
 	before := len(r.Record().Calls)
 	c.Start()
-	r.Until("the copy is clean", func(Record) bool { return len(c.Holds(marker)) == 0 })
+	r.Until("c has erased the copy's messages", func(Record) bool { return len(c.Grep(marker)) == 0 })
 	assert.False(t, slices.ContainsFunc(r.Record().Calls[before:], func(x Call) bool {
-		return x.Sender == "c" && x.Dst == acme && bytes.Contains([]byte(x.Text), []byte(marker))
-	}), "nothing of it goes out")
-	assert.Len(t, told(r.Record(), "complete"), 1)
+		return x.Sender == "c" && x.Dst == acme && bytes.Contains([]byte(x.RawRequest), []byte(marker))
+	}), "c delivered a purged message from the old copy")
+	assert.Len(t, customerNotices(r.Record(), "complete"), 1)
 }
 
 func TestCoordinatorKilledAndAnotherGoesOn(t *testing.T) {
 	t.Parallel()
-	r := purging(t, nothing)
+	r := newPurgeRig(t, noExtraSettings)
 	r.Start()
-	r.fill()
+	r.fillFolders()
 	r.Cut([]string{"c"}, []string{"a", "b"})
-	r.order(0, "one")
-	r.Until("b is clean", func(Record) bool { return len(r.Sender("b").Holds(marker)) == 0 })
+	r.orderPurge(0, "one")
+	r.Until("b has erased the messages", func(Record) bool { return len(r.Sender("b").Grep(marker)) == 0 })
 	r.Sender("a").Kill()
 	r.Heal()
 	r.Sender("a").Start()
-	r.Until("complete", func(rec Record) bool { return len(told(rec, "complete")) > 0 })
+	r.Until("complete", func(rec Record) bool { return len(customerNotices(rec, "complete")) > 0 })
 	for _, s := range r.Senders() {
-		r.clean(s)
+		r.checkErased(s)
 	}
-	assert.Len(t, told(r.Record(), "complete"), 1)
+	assert.Len(t, customerNotices(r.Record(), "complete"), 1)
 }
 
-func TestLostFolderNeedsTheOperatorsWord(t *testing.T) {
+func TestLostFolderNeedsTheOperatorsDeclaration(t *testing.T) {
 	t.Parallel()
-	word := ""
-	r := purging(t, func() string { return word })
+	declaration := ""
+	r := newPurgeRig(t, func() string { return declaration })
 	r.Start()
-	r.fill()
+	r.fillFolders()
 	c := r.Sender("c")
-	_, number, _ := strings.Cut(c.Log(), `"self":"c","incarnation":1,"folder":"`)
+	_, folder, _ := strings.Cut(c.Log(), `"self":"c","incarnation":1,"folder":"`)
 	c.Kill()
-	c.Wipe()
+	c.WipeFolder()
 	c.Start()
-	r.order(0, "one")
-	r.Until("all are clean", func(Record) bool { return len(r.Sender("a").Holds(marker))+len(r.Sender("b").Holds(marker)) == 0 })
+	r.orderPurge(0, "one")
+	r.Until("a and b have erased the messages", func(Record) bool { return len(r.Sender("a").Grep(marker))+len(r.Sender("b").Grep(marker)) == 0 })
 	a := r.Sender("a")
 	a.Kill()
 	a.Start()
-	require.Empty(t, told(r.Record(), "complete"), "the lost folder may be anywhere")
+	require.Empty(t, customerNotices(r.Record(), "complete"), "the order is complete although the lost folder may still exist")
 	a.Kill()
-	word = fmt.Sprintf("[[fleet.destroyed]]\nsender = \"c\"\nfolder = %q\n", number[:16])
+	declaration = fmt.Sprintf("[[fleet.destroyed]]\nsender = \"c\"\nfolder = %q\n", folder[:16])
 	a.Start()
-	r.Until("complete", func(rec Record) bool { return len(told(rec, "complete")) > 0 })
-	assert.Contains(t, fmt.Sprint(told(r.Record(), "complete")), "declared_destroyed_by:operator's file")
+	r.Until("complete", func(rec Record) bool { return len(customerNotices(rec, "complete")) > 0 })
+	assert.Contains(t, fmt.Sprint(customerNotices(r.Record(), "complete")), "declared_destroyed_by:operator's file")
 }
--- a/internal/fleettest/receiver_rig_test.go
+++ b/internal/fleettest/receiver_rig_test.go
@@ -15,32 +15,31 @@
 	"time"
 )
 
-// Conduct is how a destination's receiver behaves. The zero value answers 200 at once.
+// Conduct is how a destination's receiver behaves. The zero value answers with 200 at once.
 type Conduct struct {
-	Limit    int           // calls within Window; more are answered 429; 0 for none
-	Window   time.Duration // one second if 0
-	Counted  bool          // refused calls use up the limit as well
-	Wait     time.Duration // told with a 429; whole milliseconds
-	Down     bool          // connections are cut
-	Status   int           // instead of 200
-	Slow     time.Duration // before the answer
-	Silent   bool          // no answer until Conduct changes
-	LimitNow string        // report in the head of each answer, as the settings name it; empty for none
+	Limit        int           // calls within Window; further ones are answered with 429; 0 for none
+	Window       time.Duration // one second if 0
+	CountRefused bool          `json:"Counted"` // refused calls count against the limit as well
+	RetryAfter   time.Duration `json:"Wait"`    // sent with a 429; whole milliseconds
+	Down         bool          // connections are closed without an answer
+	Status       int           // instead of 200
+	AnswerDelay  time.Duration `json:"Slow"` // before the answer
+	Silent       bool          // no answer until Conduct changes
 }
 
-// destination is one receiver, which every sender reaches at an address of its own: that tells who calls.
+// destination is one receiver. Every sender reaches it at a different address, which identifies the caller.
 type destination struct {
 	r   *Rig
 	dst int64
 
-	mu      sync.Mutex // before the recorder's
-	conduct Conduct
-	changed chan struct{} // closed and renewed by each change of conduct
-	within  []time.Duration
-	serving bool
+	mu          sync.Mutex // taken before the recorder's
+	conduct     Conduct
+	changed     chan struct{} // closed and replaced by each change of conduct
+	recentCalls []time.Duration
+	serving     bool
 }
 
-// Conduct changes a destination's behaviour.
+// Conduct changes the behaviour of a destination's receiver.
 func (r *Rig) Conduct(dst int64, c Conduct) {
 	d := r.dsts[dst]
 	d.mu.Lock()
@@ -48,7 +47,7 @@
 	if c.Window == 0 {
 		c.Window = time.Second
 	}
-	d.conduct, d.within = c, nil
+	d.conduct, d.recentCalls = c, nil
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -58,8 +57,8 @@
 }
 
 func (d *destination) receive(sender string, out http.ResponseWriter, in *http.Request) {
-	d.r.rec.hold(sender, 1)
-	defer d.r.rec.hold(sender, -1)
+	d.r.rec.addOpenCalls(sender, 1)
+	defer d.r.rec.addOpenCalls(sender, -1)
 	text, err := httputil.DumpRequest(in, true)
 	if err != nil {
 		return
@@ -75,42 +74,42 @@
 		out.WriteHeader(status)
 		return
 	}
-	if in.Header.Get("X-Txn") == "" { // of a program that had peers at this port before
+	if in.Header.Get("X-Txn") == "" { // from another program, whose peer had this port before
 		out.WriteHeader(http.StatusNotFound)
 		return
 	}
 	number := 0
-	d.r.rec.write(func(rec *Record) {
+	d.r.rec.update(func(rec *Record) {
 		number = len(rec.Calls)
 		rec.Calls = append(rec.Calls, Call{At: at, Sender: sender, ID: in.Header.Get("X-Txn"), Key: in.Header.Get("Idempotency-Key"),
-			Dst: d.dst, Text: string(text)})
+			Dst: d.dst, RawRequest: string(text)})
 	})
 	if c.Down {
-		d.r.rec.write(func(rec *Record) { rec.Calls[number].Status = 503 }) // cut before anything ran
+		d.r.rec.update(func(rec *Record) { rec.Calls[number].Status = 503 }) // closed before anything ran
 		panic(http.ErrAbortHandler)
 	}
-	if c.Silent || c.Slow > 0 {
-		if !pause(in, c, changed) {
+	if c.Silent || c.AnswerDelay > 0 {
+		if !delayAnswer(in, c, changed) {
 			return
 		}
 	}
-	if status == http.StatusTooManyRequests && c.Wait > 0 {
-		out.Header().Set("Retry-After", strconv.FormatFloat(c.Wait.Seconds(), 'f', 3, 64))
+	if status == http.StatusTooManyRequests && c.RetryAfter > 0 {
+		out.Header().Set("Retry-After", strconv.FormatFloat(c.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	d.r.rec.write(func(rec *Record) {
+	d.r.rec.update(func(rec *Record) {
 		call := &rec.Calls[number]
 		if call.Status, call.Answered = status, d.r.rec.now(); status == http.StatusTooManyRequests {
-			call.Wait = c.Wait
+			call.RetryAfter = c.RetryAfter
 		}
 	})
 	out.WriteHeader(status)
 }
 
-// pause is false when the caller left.
-func pause(in *http.Request, c Conduct, changed <-chan struct{}) bool {
+// delayAnswer waits as conduct says, and returns false if the caller disconnected.
+func delayAnswer(in *http.Request, c Conduct, changed <-chan struct{}) bool {
 	var over <-chan time.Time
 	if !c.Silent {
-		t := time.NewTimer(c.Slow)
+		t := time.NewTimer(c.AnswerDelay)
 		defer t.Stop()
 		over, changed = t.C, nil
 	}
@@ -123,18 +122,18 @@
 	return true
 }
 
-// status counts a call against the limit.
+// status counts a call against the limit and returns the status of its answer.
 func (d *destination) status(at time.Duration, method string) int {
 	c := d.conduct
 	if method == http.MethodGet || c.Limit == 0 {
 		return max(c.Status, 200)
 	}
-	for len(d.within) > 0 && d.within[0] <= at-c.Window {
-		d.within = d.within[1:]
+	for len(d.recentCalls) > 0 && d.recentCalls[0] <= at-c.Window {
+		d.recentCalls = d.recentCalls[1:]
 	}
-	full := len(d.within) >= c.Limit
-	if !full || c.Counted {
-		d.within = append(d.within, at)
+	full := len(d.recentCalls) >= c.Limit
+	if !full || c.CountRefused {
+		d.recentCalls = append(d.recentCalls, at)
 	}
 	if full {
 		return http.StatusTooManyRequests
@@ -142,20 +141,20 @@
 	return max(c.Status, 200)
 }
 
-// platform stands in for discovery and the platform as one sender sees them.
+// platform emulates discovery and the platform for one sender.
 type platform struct {
 	r      *Rig
 	sender string
 	server *httptest.Server
 
-	mu       sync.Mutex // before the recorder's
+	mu       sync.Mutex // taken before the recorder's
 	revision int64
 	lines    []string
-	more     chan struct{}
+	changed  chan struct{}
 }
 
 func newPlatform(r *Rig, sender string) *platform {
-	p := &platform{r: r, sender: sender, revision: 1, more: make(chan struct{})}
+	p := &platform{r: r, sender: sender, revision: 1, changed: make(chan struct{})}
 	p.server = newServer(p)
 	return p
 }
@@ -179,17 +178,17 @@
 		}
 		ns = append(ns, n)
 	}
-	p.r.rec.write(func(rec *Record) { rec.Notices = append(rec.Notices, ns...) })
+	p.r.rec.update(func(rec *Record) { rec.Notices = append(rec.Notices, ns...) })
 	out.WriteHeader(http.StatusNoContent)
 }
 
-const beat = time.Second // of the watch; senders open it anew after 5 s of silence
+const keepaliveInterval = time.Second // of a watch request; senders reconnect after 5 s of silence
 
 func (p *platform) watch(out http.ResponseWriter, in *http.Request) {
 	out.WriteHeader(http.StatusOK)
 	for sent := 0; ; {
 		p.mu.Lock()
-		lines, more := p.lines[sent:], p.more
+		lines, changed := p.lines[sent:], p.changed
 		p.mu.Unlock()
 		for _, l := range lines {
 			fmt.Fprintln(out, l)
@@ -201,39 +200,39 @@
 		select {
 		case <-in.Context().Done():
 			return
-		case <-more:
-		case <-time.After(beat):
+		case <-changed:
+		case <-time.After(keepaliveInterval):
 		}
 	}
 }
 
-func (p *platform) list(members string, complete bool) string {
+func (p *platform) publishList(members string, complete bool) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	line := fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, p.revision, complete, members)
 	if !complete {
 		p.lines = append(p.lines, line)
-		close(p.more)
-		p.more = make(chan struct{})
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}
 	return line
 }
 
-// Serving lists a destination as serving or draining, to every sender.
+// Serving lists a destination as serving or draining for every sender.
 func (r *Rig) Serving(dst int64, serving bool) {
 	r.dsts[dst].mu.Lock()
 	r.dsts[dst].serving = serving
 	r.dsts[dst].mu.Unlock()
 	for _, s := range r.senders {
-		s.platform.list(s.member(dst), false)
+		s.platform.publishList(s.listEntry(dst), false)
 		at := r.rec.now()
-		r.rec.write(func(rec *Record) { rec.Lists = append(rec.Lists, Listing{at, s.Name, dst, serving}) })
+		r.rec.update(func(rec *Record) { rec.Listings = append(rec.Listings, Listing{at, s.Name, dst, serving}) })
 	}
 }
 
-// member is a destination's entry in the list that a sender is told.
-func (s *Sender) member(dst int64) string {
+// listEntry returns a destination's entry in the list for this sender.
+func (s *Sender) listEntry(dst int64) string {
 	d := s.r.dsts[dst]
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,13 +241,13 @@
 		phase = "SERVING"
 	}
 	return fmt.Sprintf(`{"id":"s-%d","host_port":"%s","locality":"z","flavor":"m","cell":%d,"phase":"%s","size":1}`,
-		dst, s.reach[dst].Listener.Addr(), dst, phase)
+		dst, s.receivers[dst].Listener.Addr(), dst, phase)
 }
 
-func (s *Sender) known() string {
+func (s *Sender) initialList() string {
 	var members []string
 	for _, dst := range s.r.setup.Destinations {
-		members = append(members, s.member(dst))
+		members = append(members, s.listEntry(dst))
 	}
-	return s.platform.list(strings.Join(members, ","), true)
+	return s.platform.publishList(strings.Join(members, ","), true)
 }
--- a/internal/fleettest/record_rig_test.go
+++ b/internal/fleettest/record_rig_test.go
@@ -11,51 +11,52 @@
 	"ravenlink/internal/links"
 )
 
-// Record is what passed on the wire, each part in the order in which it passed. Times are since the rig began.
+// Record is the traffic that was seen on the wire, and what was done to senders, each in order of time. Times are since the rig was
+// created.
 type Record struct {
-	HandIns []HandIn
-	Calls   []Call
-	Notices []Notice
-	Lists   []Listing
-	Acts    []Act
-	Posts   []Post
-	Stalls  []Stall
+	HandIns  []HandIn
+	Calls    []Call
+	Notices  []Notice
+	Listings []Listing
+	Actions  []Action
+	Posts    []Post
+	Stalls   []Stall
 }
 
-// HandIn is one message as a client handed it in, and its answer.
+// HandIn is one hand-in of a message and its answer.
 type HandIn struct {
 	Message
 	At, Answered time.Duration
 	Sender       string
-	Answer       string // empty when the connection ended before it
+	Answer       string // empty if there was none
 	NoAnswer     NoAnswer
 }
 
-// Taken tells whether the sender took the message on.
-func (h HandIn) Taken() bool { return h.Answer == "+OK" || strings.HasPrefix(h.Answer, "+OK ") }
+// Accepted reports whether the sender accepted the message.
+func (h HandIn) Accepted() bool { return h.Answer == "+OK" || strings.HasPrefix(h.Answer, "+OK ") }
 
 // Call is one leg as a receiver saw it.
 type Call struct {
-	At, Answered time.Duration // Answered is 0 while it is open or when it was cut
+	At, Answered time.Duration // Answered is 0 for a call that is open or was cut
 	Sender       string
 	ID, Key      string
 	Dst          int64
-	Status       int // 0: no answer
-	Wait         time.Duration
-	Text         string // as it came, for transcripts
+	Status       int // 0 for no answer
+	RetryAfter   time.Duration
+	RawRequest   string // as received, for transcripts
 }
 
-// Ran tells whether the call may have taken effect.
-func (c Call) Ran() bool { return c.Status != 429 && c.Status != 503 && c.Status != 504 }
+// MayHaveRun reports whether the call may have taken effect.
+func (c Call) MayHaveRun() bool { return c.Status != 429 && c.Status != 503 && c.Status != 504 }
 
-// Notice is one line of a post of notices that the platform took.
+// Notice is one notice that the platform accepted.
 type Notice struct {
 	At        time.Duration
 	Sender    string
 	ID, State string
 }
 
-// Listing is a change of the list as one sender was told it.
+// Listing is a change of the destination list, as it was sent to one sender.
 type Listing struct {
 	At      time.Duration
 	Sender  string
@@ -63,106 +64,106 @@
 	Serving bool
 }
 
-// Act is what was done to a sender: start, kill, term, stop, cont.
-type Act struct {
+// Action is what was done to a sender: start, kill, term, stop, cont, wipe, or restore with the name of the copy.
+type Action struct {
 	At     time.Duration
 	Sender string
 	What   string
 }
 
-// Post is what became of one post on a directed link.
+// Post is one HTTP post on a directed link.
 type Post struct {
 	At       time.Duration
 	From, To string
-	Fate     string // passed, doubled, replayed, lost, cut, unanswered, held
+	Outcome  string // delivered, duplicated, replayed, lost, cut, unanswered or held
 	Bytes    int
-	Frames   []links.Frame // as they were sent
+	Frames   []links.Frame // as sent
 }
 
-// Stall is a time in which the machine did not let the rig run, and so no link, receiver or client of it.
+// Stall is a time in which the machine did not run the rig, and so none of its links, receivers and clients.
 type Stall struct{ From, To time.Duration }
 
 const (
-	pulse      = 5 * time.Millisecond // of the rig, to find stalls
-	stallLeast = 5 * time.Millisecond // a pulse later than this is one; on a full machine what takes ten turns of several processes has ten such
+	stallPollInterval = 5 * time.Millisecond // between checks for stalls
+	minStall          = 5 * time.Millisecond // a check that is later than this is a stall; on a busy machine what takes ten turns of several processes can have ten of them
 )
 
-// watch writes stalls down until done.
-func (r *recorder) watch(done <-chan struct{}) {
-	each := time.NewTicker(pulse)
-	defer each.Stop()
+// recordStalls records stalls until done is closed.
+func (r *recorder) recordStalls(done <-chan struct{}) {
+	ticker := time.NewTicker(stallPollInterval)
+	defer ticker.Stop()
 	for last := r.now(); ; {
 		select {
 		case <-done:
 			return
-		case <-each.C:
+		case <-ticker.C:
 		}
 		now := r.now()
-		if now-last >= pulse+stallLeast {
+		if now-last >= stallPollInterval+minStall {
 			r.mu.Lock()
-			r.rec.Stalls = append(r.rec.Stalls, Stall{last + pulse, now})
+			r.rec.Stalls = append(r.rec.Stalls, Stall{last + stallPollInterval, now})
 			r.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-// recorder collects a record.
+// recorder collects a Record.
 type recorder struct {
-	start time.Time
-	mu    sync.Mutex // a leaf
-	rec   Record
-	open  map[string]int // calls that a receiver has not done with, by sender
-	news  chan struct{}  // closed and renewed with each entry
+	start   time.Time
+	mu      sync.Mutex // no other lock is taken while it is held
+	rec     Record
+	open    map[string]int // calls that a receiver has not finished, by sender
+	changed chan struct{}  // closed and replaced with each update
 }
 
 func newRecorder() *recorder {
-	return &recorder{start: time.Now(), open: map[string]int{}, news: make(chan struct{})}
+	return &recorder{start: time.Now(), open: map[string]int{}, changed: make(chan struct{})}
 }
 
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
-// write changes the record and wakes those that wait for a condition.
-func (r *recorder) write(f func(*Record)) {
+// update changes the record and wakes those that wait for a condition.
+func (r *recorder) update(f func(*Record)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.rec)
-	close(r.news)
-	r.news = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// hold counts a sender's open calls, by 1 or -1.
-func (r *recorder) hold(sender string, by int) {
+// addOpenCalls adds to the number of a sender's open calls.
+func (r *recorder) addOpenCalls(sender string, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[sender] += by
 }
 
-func (r *recorder) held(sender string) int {
+func (r *recorder) openCalls(sender string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.open[sender]
 }
 
-// post writes one post down. It wakes nobody: there are many, and conditions are looked at now and then anyway.
-func (r *recorder) post(p Post) {
+// addPost records a post. It wakes nobody: posts are frequent, and conditions are polled anyway.
+func (r *recorder) addPost(p Post) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.Posts = append(r.rec.Posts, p)
 }
 
-// read copies the record.
-func (r *recorder) read() (Record, <-chan struct{}) {
+// snapshot returns a copy of the record, and a channel that the next update closes.
+func (r *recorder) snapshot() (Record, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.rec
-	c.HandIns, c.Calls = slices.Clone(c.HandIns), slices.Clone(c.Calls) // whose entries still change
-	c.Notices, c.Lists, c.Acts, c.Posts = slices.Clip(c.Notices), slices.Clip(c.Lists), slices.Clip(c.Acts), slices.Clip(c.Posts)
+	c.HandIns, c.Calls = slices.Clone(c.HandIns), slices.Clone(c.Calls) // entries of these two still change
+	c.Notices, c.Listings, c.Actions, c.Posts = slices.Clip(c.Notices), slices.Clip(c.Listings), slices.Clip(c.Actions), slices.Clip(c.Posts)
 	c.Stalls = slices.Clip(c.Stalls)
-	return c, r.news
+	return c, r.changed
 }
 
-// CallsOf are the calls of one message.
+// CallsOf returns the calls of one message.
 func (r Record) CallsOf(id string) (cs []Call) {
 	for _, c := range r.Calls {
 		if c.ID == id {
@@ -172,13 +173,13 @@
 	return cs
 }
 
-// Ended tells whether a message was delivered or the platform was told of its end.
+// Ended reports whether a message was delivered or the platform got a notice of its end.
 func (r Record) Ended(id string) bool {
 	return slices.ContainsFunc(r.Calls, func(c Call) bool { return c.ID == id && c.Status == 200 }) ||
 		slices.ContainsFunc(r.Notices, func(n Notice) bool { return n.ID == id })
 }
 
-// Delivered counts the messages that a receiver answered 200.
+// Delivered counts the messages that a receiver answered with 200.
 func (r Record) Delivered() int {
 	ids := map[string]bool{}
 	for _, c := range r.Calls {
@@ -189,18 +190,18 @@
 	return len(ids)
 }
 
-// Owed are the messages taken on that have not ended.
-func (r Record) Owed() (ids []string) {
+// Unended returns the accepted messages that have not ended.
+func (r Record) Unended() (ids []string) {
 	for _, h := range r.HandIns {
-		if h.Taken() && !r.Ended(h.ID) {
+		if h.Accepted() && !r.Ended(h.ID) {
 			ids = append(ids, h.ID)
 		}
 	}
 	return ids
 }
 
-// Story tells all that passed of one message, in the order of time, and what was done to senders meanwhile.
-func (r Record) Story(id string) string {
+// Timeline describes the traffic of one message and all actions on senders, in order of time.
+func (r Record) Timeline(id string) string {
 	type line struct {
 		at   time.Duration
 		text string
@@ -211,7 +212,7 @@
 	}
 	for _, h := range r.HandIns {
 		if h.ID == id {
-			add(h.At, "handed in at %s, lane %s, destination %d, within %v", h.Sender, h.Lane, h.Dst, h.Within)
+			add(h.At, "handed in at %s, class %s, destination %d, deadline after %v", h.Sender, h.Class, h.Dst, h.Timeout)
 			add(h.Answered, "%s answers %q", h.Sender, h.Answer)
 		}
 	}
@@ -223,14 +224,14 @@
 	}
 	for _, n := range r.Notices {
 		if n.ID == id {
-			add(n.At, "%s tells the platform: %s", n.Sender, n.State)
+			add(n.At, "%s notifies the platform: %s", n.Sender, n.State)
 		}
 	}
-	for _, a := range r.Acts {
+	for _, a := range r.Actions {
 		add(a.At, "%s: %s", a.Sender, a.What)
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return cmp.Compare(a.at, b.at) })
-	text := "story of " + id
+	text := "timeline of " + id
 	for _, l := range lines {
 		text += fmt.Sprintf("\n%12v %s", l.at.Round(time.Microsecond), l.text)
 	}
--- a/internal/fleettest/return_client_rig_test.go
+++ b/internal/fleettest/return_client_rig_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Clients of a return play.
+// Clients of a return scenario.
 
-func (p *returnRig) handedTo(id string) int {
+func (p *returnRig) senderOf(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if by, known := p.holder[id]; known {
+	if by, known := p.holders[id]; known {
 		return by
 	}
 	return -1
 }
 
-func (p *returnRig) drawSender() (to int) {
+func (p *returnRig) pickSender() (to int) {
 	sum := 0.0
 	for i, s := range p.senders {
-		if sum += s.part; p.draw.Float64()*sum < s.part {
+		if sum += s.trafficWeight; p.rng.Float64()*sum < s.trafficWeight {
 			to = i
 		}
 	}
 	return to
 }
 
-func (p *returnRig) drawDestination(total float64) int {
-	left := p.draw.Float64() * total
+func (p *returnRig) pickDestination(total float64) int {
+	left := p.rng.Float64() * total
 	for i, c := range p.Capacities {
 		if left -= c; left < 0 {
 			return i + 1
@@ -39,24 +39,24 @@
 	return len(p.Capacities)
 }
 
-// handIn hands a message in at a sender, or where that answers nothing at the next one; a front would. Each try has an id of its own.
+// handIn hands a message in at a sender or, if that does not answer, at the next one, as a load balancer would. Each attempt has its own id.
 func (p *returnRig) handIn(name string, dst, to int) {
 	p.mu.Lock()
 	n := p.handIns[name]
 	p.handIns[name]++
 	p.mu.Unlock()
-	if n >= mostHandIns || p.now() > p.Until+returnWatch {
+	if n >= maxHandIns || p.now() > p.OutageEnd+returnObservation {
 		return
 	}
-	lane, key := p.laneOf(name)
-	for try := range 2 * len(p.senders) {
-		id := fmt.Sprintf("%s%04x%02x%02x", name, dst, n, try)
-		p.noteHandIn(id, lane, to)
-		answer, lost := p.senders[to].say(command("ENQUEUE", "0000", id, fmt.Sprintf("c=%s,d=%d%s,dest=%d", lane, p.within().Milliseconds(), key, dst), "x"))
-		p.noteAnswer(id, answer, lost)
+	class, key := p.classOf(name)
+	for attempt := range 2 * len(p.senders) {
+		id := fmt.Sprintf("%s%04x%02x%02x", name, dst, n, attempt)
+		p.recordHandIn(id, class, to)
+		answer, lost := p.senders[to].request(encodeCommand("ENQUEUE", "0000", id, fmt.Sprintf("c=%s,d=%d%s,dest=%d", class, p.deadline().Milliseconds(), key, dst), "x"))
+		p.recordAnswer(id, answer, lost)
 		if after := 0; answer != "" || lost {
 			if _, err := fmt.Sscanf(answer, "-BUSY %d", &after); err == nil {
-				p.comeAgain(id, after)
+				p.retryHandIn(id, after)
 			}
 			return
 		}
@@ -64,42 +64,42 @@
 	}
 }
 
-func (p *returnRig) noteHandIn(id, lane string, to int) {
+func (p *returnRig) recordHandIn(id, class string, to int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder[id], p.messages[id] = to, &handed{lane: lane}
+	p.holders[id], p.messages[id] = to, &messageRecord{class: class}
 }
 
-func (p *returnRig) noteAnswer(id, answer string, lost bool) {
+func (p *returnRig) recordAnswer(id, answer string, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.messages[id].taken = strings.HasPrefix(answer, "+")
+	p.messages[id].accepted = strings.HasPrefix(answer, "+")
 	if lost {
-		p.unanswered = append(p.unanswered, fmt.Sprintf("%s was read by n%d, which closed without an answer", id, p.holder[id]))
+		p.unanswered = append(p.unanswered, fmt.Sprintf("%s was read by n%d, which closed without an answer", id, p.holders[id]))
 	}
 }
 
-func (p *returnRig) within() time.Duration { return cmp.Or(p.Within, returnWithin) }
+func (p *returnRig) deadline() time.Duration { return cmp.Or(p.Deadline, defaultDeadline) }
 
-// laneOf is a message's lane, and its key as a field; a plain play has none that must not run twice.
-func (p *returnRig) laneOf(name string) (lane, key string) {
-	if n := crc32.ChecksumIEEE([]byte(name)); p.Settle > 0 && float64(n%100) < 100*soakOnce {
+// classOf returns a message's class and its key field. Scenarios without a SettleTime have no messages that must not run twice.
+func (p *returnRig) classOf(name string) (class, key string) {
+	if n := crc32.ChecksumIEEE([]byte(name)); p.SettleTime > 0 && float64(n%100) < 100*soakOnceShare {
 		return "once", ""
 	}
 	return "notice", ",k=" + name
 }
 
-// ran counts a call that may have run.
-func (p *returnRig) ran(id string) {
+// recordRun counts a call that may have run.
+func (p *returnRig) recordRun(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.messages[id]; m != nil {
-		m.ran++
+		m.runs++
 	}
 }
 
-// over takes in that a message was delivered, or told in a notice.
-func (p *returnRig) over(id string) {
+// recordEnd records that a message was delivered or reported in a notice.
+func (p *returnRig) recordEnd(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.messages[id]; m != nil {
@@ -107,15 +107,15 @@
 	}
 }
 
-// comeAgain has a client hand a message in once more after a pushback, at any sender.
-func (p *returnRig) comeAgain(id string, afterMs int) {
+// retryHandIn makes a client hand a rejected message in again, at a random sender.
+func (p *returnRig) retryHandIn(id string, afterMs int) {
 	var dst int
 	if _, err := fmt.Sscanf(id[8:12], "%x", &dst); err != nil {
 		return
 	}
 	p.mu.Lock()
-	wait := max(time.Duration(afterMs)*time.Millisecond, 400*time.Millisecond+time.Duration(p.draw.Float64()*float64(time.Second)))
-	to := p.drawSender()
+	wait := max(time.Duration(afterMs)*time.Millisecond, 400*time.Millisecond+time.Duration(p.rng.Float64()*float64(time.Second)))
+	to := p.pickSender()
 	p.mu.Unlock()
 	p.at(p.now()+wait, func() { p.handIn(id[:8], dst, to) })
 }
--- a/internal/fleettest/return_platform_rig_test.go
+++ b/internal/fleettest/return_platform_rig_test.go
@@ -14,20 +14,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Discovery and the platform of a return play.
+// Discovery and the platform of a return scenario.
 
-// serveAgent stands in for discovery and the platform of all senders.
-func (p *returnRig) serveAgent() {
+// startPlatform starts a server that emulates discovery and the platform for all senders.
+func (p *returnRig) startPlatform() {
 	l, err := net.Listen("tcp", ownHost()+":0")
 	require.NoError(p.t, err)
-	p.agentAt = l.Addr().String()
-	p.agent = &http.Server{Handler: http.HandlerFunc(p.serve)}
-	p.work.Go(func() { _ = p.agent.Serve(l) })
+	p.platformAddr = l.Addr().String()
+	p.platform = &http.Server{Handler: http.HandlerFunc(p.handlePlatform)}
+	p.running.Go(func() { _ = p.platform.Serve(l) })
 }
 
-func (p *returnRig) serve(out http.ResponseWriter, in *http.Request) {
+func (p *returnRig) handlePlatform(out http.ResponseWriter, in *http.Request) {
 	if in.Method == http.MethodGet {
-		p.watch(out, in)
+		p.streamList(out, in)
 		return
 	}
 	text, _ := io.ReadAll(in.Body)
@@ -39,56 +39,56 @@
 		if json.Unmarshal(lines.Bytes(), &n) != nil {
 			continue
 		}
-		p.over(n.ID)
+		p.recordEnd(n.ID)
 		if n.State == "returned" {
-			p.comeAgain(n.ID, n.After)
+			p.retryHandIn(n.ID, n.After)
 		}
 	}
 	out.WriteHeader(http.StatusNoContent)
 }
 
-func (p *returnRig) watch(out http.ResponseWriter, in *http.Request) {
+func (p *returnRig) streamList(out http.ResponseWriter, in *http.Request) {
 	out.WriteHeader(http.StatusOK)
-	beat := time.NewTicker(beatOfList)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(listHeartbeat)
+	defer heartbeat.Stop()
 	for sent := 0; ; {
 		p.mu.Lock()
-		lines, more := p.lines[sent:], p.more
+		listUpdates, listChanged := p.listUpdates[sent:], p.listChanged
 		p.mu.Unlock()
-		fmt.Fprintln(out, strings.Join(lines, "\n"))
-		sent += len(lines)
+		fmt.Fprintln(out, strings.Join(listUpdates, "\n"))
+		sent += len(listUpdates)
 		out.(http.Flusher).Flush()
 		select {
 		case <-in.Context().Done():
 			return
-		case <-more:
-		case <-beat.C:
+		case <-listChanged:
+		case <-heartbeat.C:
 		}
 	}
 }
 
-// whole is the list as it stands.
-func (p *returnRig) whole() string {
+// fullList is the current complete list.
+func (p *returnRig) fullList() string {
 	var members []string
-	for _, d := range p.dsts {
+	for _, d := range p.destinations {
 		d.mu.Lock()
 		for i := range d.endpoints {
-			members = append(members, d.member(i))
+			members = append(members, d.memberEntry(i))
 		}
 		d.mu.Unlock()
 	}
 	return fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`, strings.Join(members, ","))
 }
 
-// join adds an endpoint to a destination, and tells all senders.
-func (p *returnRig) join(d *returning) {
+// announceEndpoint adds an endpoint to a destination and announces it to all senders.
+func (p *returnRig) announceEndpoint(d *returnDestination) {
 	d.addEndpoint(ownHost())
 	d.mu.Lock()
-	member := d.member(len(d.endpoints) - 1)
+	memberEntry := d.memberEntry(len(d.endpoints) - 1)
 	d.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lines = append(p.lines, fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, len(p.lines)+2, member))
-	close(p.more)
-	p.more = make(chan struct{})
+	p.listUpdates = append(p.listUpdates, fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, len(p.listUpdates)+2, memberEntry))
+	close(p.listChanged)
+	p.listChanged = make(chan struct{})
 }
--- a/internal/fleettest/return_receiver_rig_test.go
+++ b/internal/fleettest/return_receiver_rig_test.go
@@ -5,65 +5,66 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
-	"ravenlink/internal/loopback"
 	"slices"
 	"sync"
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"ravenlink/internal/loopback"
 )
 
-// Destinations of a return play: their endpoints, outages and returns.
+// Destinations of a return scenario: their endpoints, outages and returns.
 
-// span is a time of the play.
-type span struct{ From, Until time.Duration }
+// interval is a time interval of the scenario.
+type interval struct{ From, Until time.Duration }
 
-// arrival is a call or probe as a destination saw it.
+// arrival is a call or probe received by a destination.
 type arrival struct {
 	At      time.Duration
 	Message string // empty for a probe
-	By      int    // the sender
+	Sender  int    // index of the sender, -1 if unknown
 }
 
 // endpoint is one address of a destination.
 type endpoint struct {
-	d      *returning
-	at     *loopback.Reservation
-	server *http.Server // nil while it refuses
+	d      *returnDestination
+	port   *loopback.Reservation
+	server *http.Server // nil while connections are refused
 }
 
-// returning is a destination of the play.
-type returning struct {
+// returnDestination is a destination of the scenario.
+type returnDestination struct {
 	p        *returnRig
 	number   int
 	capacity float64
 
-	mu        sync.Mutex
-	endpoints []*endpoint
-	hangs     bool
-	errs      bool
-	shut      bool
-	outages   []span        // in their order
-	changed   chan struct{} // closed at the return
-	draw      *rand.Rand
-	came      []arrival
+	mu            sync.Mutex
+	endpoints     []*endpoint
+	hangs         bool
+	answersErrors bool
+	rejects       bool
+	outages       []interval    // in chronological order
+	returned      chan struct{} // closed when the outage ends
+	rng           *rand.Rand
+	arrivals      []arrival
 }
 
-func (d *returning) ServeHTTP(out http.ResponseWriter, in *http.Request) {
+func (d *returnDestination) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	_, _ = io.Copy(io.Discard, in.Body)
 	id := in.Header.Get("X-Txn")
 	d.mu.Lock()
-	d.came = append(d.came, arrival{d.p.now(), id, d.p.handedTo(id)})
-	hangs, fails, shut, changed := d.hangs, d.errs && d.draw.Float64() < 0.8, d.shut, d.changed
+	d.arrivals = append(d.arrivals, arrival{d.p.now(), id, d.p.senderOf(id)})
+	hangs, fails, rejects, returned := d.hangs, d.answersErrors && d.rng.Float64() < 0.8, d.rejects, d.returned
 	d.mu.Unlock()
-	if shut {
-		d.refuse(out)
+	if rejects {
+		d.reject(out)
 		return
 	}
-	d.p.ran(id)
+	d.p.recordRun(id)
 	if hangs {
 		select {
-		case <-changed:
+		case <-returned:
 		case <-in.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
@@ -73,67 +74,67 @@
 		return
 	}
 	if id != "" {
-		time.Sleep(returnTook) // the call's work; decides nothing
-		d.p.over(id)
+		time.Sleep(callDuration) // emulated processing time; no condition depends on it
+		d.p.recordEnd(id)
 	}
 	out.WriteHeader(http.StatusOK)
 }
 
-func (d *returning) refuse(out http.ResponseWriter) {
-	if d.p.Tells == 0 {
+func (d *returnDestination) reject(out http.ResponseWriter) {
+	if d.p.RetryAfter == 0 {
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	out.Header().Set("Retry-After", fmt.Sprint(d.p.Tells.Seconds()))
+	out.Header().Set("Retry-After", fmt.Sprint(d.p.RetryAfter.Seconds()))
 	out.WriteHeader(http.StatusTooManyRequests)
 }
 
-func (d *returning) open(e *endpoint) {
-	l, err := e.at.Listen()
+func (d *returnDestination) listen(e *endpoint) {
+	l, err := e.port.Listen()
 	require.NoError(d.p.t, err)
 	e.server = &http.Server{Handler: d}
-	d.p.work.Go(func() { _ = e.server.Serve(l) })
+	d.p.running.Go(func() { _ = e.server.Serve(l) })
 }
 
-// fail begins the outage, and back ends it.
-func (d *returning) fail(how Outage) {
+// startOutage begins an outage, and endOutage ends it.
+func (d *returnDestination) startOutage(how OutageKind) {
 	d.mu.Lock()
-	d.hangs, d.errs, d.shut, d.changed = how == Hangs, how == Errors, how == Shut, make(chan struct{})
+	d.hangs, d.answersErrors, d.rejects, d.returned = how == HangsCalls, how == AnswersErrors, how == RejectsCalls, make(chan struct{})
 	es := slices.Clone(d.endpoints)
 	d.mu.Unlock()
 	for _, e := range es {
-		if how == Refuses {
+		if how == RefusesConnections {
 			_ = e.server.Close()
 			e.server = nil
 		}
 	}
 }
 
-func (d *returning) back() {
+func (d *returnDestination) endOutage() {
 	d.mu.Lock()
-	d.hangs, d.errs, d.shut = false, false, false
-	close(d.changed)
+	d.hangs, d.answersErrors, d.rejects = false, false, false
+	close(d.returned)
 	es := slices.Clone(d.endpoints)
 	d.mu.Unlock()
 	for _, e := range es {
 		if e.server == nil {
-			d.open(e)
+			d.listen(e)
 		}
 	}
 }
 
-// member is the entry of an endpoint in discovery's list.
-func (d *returning) member(i int) string {
+// memberEntry is the entry of an endpoint in discovery's list.
+func (d *returnDestination) memberEntry(i int) string {
 	return fmt.Sprintf(`{"id":"s-%d-%d","host_port":"%s","locality":"z","flavor":"m","cell":%d,"phase":"SERVING","size":%g}`, d.number, i,
-		d.endpoints[i].at.Addr, d.number, d.capacity)
+		d.endpoints[i].port.Addr, d.number, d.capacity)
 }
 
-func (d *returning) addEndpoint(host string) {
-	at, err := loopback.Reserve(host)
+func (d *returnDestination) addEndpoint(host string) {
+	port, err := loopback.Reserve(host)
 	require.NoError(d.p.t, err)
-	e := &endpoint{d: d, at: at}
+	e := &endpoint{d: d, port: port}
 	d.mu.Lock()
 	d.endpoints = append(d.endpoints, e)
 	d.mu.Unlock()
-	d.open(e)
+	d.listen(e)
 }
--- a/internal/fleettest/return_stall_rig_test.go
+++ b/internal/fleettest/return_stall_rig_test.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// What a play's own machine did to it: the destinations and the clients are the test program, and all senders run beside it.
+// Stalls of the machine during a scenario. The test program itself is the destinations and the clients, and all senders run on the same
+// machine, so its stalls can cause failures.
 
 const (
-	stallLook  = 5 * time.Millisecond
-	stallNoted = 50 * time.Millisecond // shorter ones no play can tell from a network
+	stallPoll        = 5 * time.Millisecond
+	minReportedStall = 50 * time.Millisecond // shorter stalls are indistinguishable from network delay
 )
 
-// stall is a time in which the test program did not run, or had its write to the disk of all senders' folders held.
+// stall is an interval in which the test program did not run, or in which its write to the disk with all senders' folders was blocked.
 type stall struct {
 	What        string
 	From, Until time.Duration
 }
 
-// stalls notes when the test program had no time, for the reader of a play that fails.
+// stalls records the stalls of the test program, to be logged if a scenario fails.
 type stalls struct {
 	mu  sync.Mutex
 	all []stall
 }
 
-// watch looks until the play ends.
+// watch detects stalls until the scenario ends.
 func (s *stalls) watch(p *returnRig) {
-	look := time.NewTicker(stallLook)
-	defer look.Stop()
+	ticker := time.NewTicker(stallPoll)
+	defer ticker.Stop()
 	disk, err := os.Create(filepath.Join(p.dir, "beat"))
 	if err != nil {
-		p.t.Errorf("no file to watch the disk by: %v", err)
+		p.t.Errorf("create the file for detecting disk stalls: %v", err)
 		return
 	}
 	defer func() { _ = disk.Close() }()
@@ -42,18 +43,18 @@
 		select {
 		case <-p.done:
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
-		woke := p.now()
-		s.note("did not run", last, woke)
+		resumed := p.now()
+		s.record("did not run", last, resumed)
 		_, _ = disk.WriteAt([]byte{0}, 0)
 		last = p.now()
-		s.note("had a write held", woke, last)
+		s.record("was blocked in a disk write", resumed, last)
 	}
 }
 
-func (s *stalls) note(what string, from, until time.Duration) {
-	if until-from < stallNoted {
+func (s *stalls) record(what string, from, until time.Duration) {
+	if until-from < minReportedStall {
 		return
 	}
 	s.mu.Lock()
@@ -61,14 +62,14 @@
 	s.all = append(s.all, stall{what, from, until})
 }
 
-// within tells the stalls that reach into a time.
-func (s *stalls) within(from, until time.Duration) (told []string) {
+// overlapping describes the stalls that overlap an interval.
+func (s *stalls) overlapping(from, until time.Duration) (texts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.all {
-		if one.Until >= from && one.From <= until {
-			told = append(told, fmt.Sprintf("the test program %s from %v to %v", one.What, one.From.Round(time.Millisecond), one.Until.Round(time.Millisecond)))
+	for _, stall := range s.all {
+		if stall.Until >= from && stall.From <= until {
+			texts = append(texts, fmt.Sprintf("the test program %s from %v to %v", stall.What, stall.From.Round(time.Millisecond), stall.Until.Round(time.Millisecond)))
 		}
 	}
-	return told
+	return texts
 }
--- a/internal/fleettest/scale_driver_test.go
+++ b/internal/fleettest/scale_driver_test.go
@@ -13,87 +13,89 @@
 )
 
 const (
-	stride   = 50 * time.Millisecond // between two turns of a driver
-	behind   = time.Second           // of messages that a driver makes up for; beyond that they were never handed in
-	gates    = 64                    // calls of one sender that wait at the gate
-	gateMost = 8 * time.Second       // for which a message to a limited destination comes again, as a message's deadline may be
+	tickInterval = 50 * time.Millisecond // at which a driver hands in the messages that are due
+	maxBacklog   = time.Second           // messages that are due for longer are dropped, as if never handed in
+	maxWaiting   = 64                    // messages of one sender that wait for calls to be allowed
+	maxLimitWait = 8 * time.Second       // how long a message to a limited destination is retried; as long as a message's deadline may be
 )
 
-// sink is what a sender's relay tells and asks its fleet.
-type sink interface {
-	Came(dst int64)
-	Began(dst int64)
-	Paused(dst int64)
-	Ended(dst int64)
-	May(dst int64) bool
-	Saw(receiver string, v routing.Sight)
+// fleetRuntime is the part of fleet.Runtime that a sender's relay calls.
+type fleetRuntime interface {
+	MessageAccepted(dst int64)
+	LegStarted(dst int64)
+	LegEnded(dst int64)
+	MessageEnded(dst int64)
+	AllowCall(dst int64) bool
+	ReportObservation(receiver string, v routing.Observation)
 }
 
-// nobody is a sink that does nothing: what a driver costs by itself is measured with it.
-type nobody struct{}
+// noRuntime does nothing. The cost of a driver by itself is measured with it.
+type noRuntime struct{}
 
-func (nobody) Came(int64)                {}
-func (nobody) Began(int64)               {}
-func (nobody) Paused(int64)              {}
-func (nobody) Ended(int64)               {}
-func (nobody) May(int64) bool            { return true }
-func (nobody) Saw(string, routing.Sight) {}
+func (noRuntime) MessageAccepted(int64)                         {}
+func (noRuntime) LegStarted(int64)                              {}
+func (noRuntime) LegEnded(int64)                                {}
+func (noRuntime) MessageEnded(int64)                            {}
+func (noRuntime) AllowCall(int64) bool                          { return true }
+func (noRuntime) ReportObservation(string, routing.Observation) {}
 
-// tells is where the driver's messages go.
-func (d *driver) tells(r sink) sink {
-	if d.w.Silent {
-		return nobody{}
+// target is the runtime that the driver calls.
+func (d *driver) target(runtime fleetRuntime) fleetRuntime {
+	if d.opts.Silent {
+		return noRuntime{}
 	}
-	return r
+	return runtime
 }
 
-// Load is what each driver makes, in messages a second.
+// Load is the message rate of each driver, in messages per second.
 type Load struct {
-	Thin    float64 // to destinations without a limit that are up
-	Limited float64 // to those with one
-	Down    float64 // to those that are down
+	Thin    float64 // to destinations that are up and have no limit
+	Limited float64 // to destinations with a limit
+	Down    float64 // to destinations that are down
 }
 
-// driver makes what a sender's clients and receivers would cause.
+// driver emulates the clients and receivers of a sender by calling its fleet runtime.
 type driver struct {
-	w    Wants
-	rng  *rand.Rand // of its goroutine alone
-	load atomic.Pointer[Load]
-	left atomic.Int64 // messages still to be made, where they are counted; below 0 for no end
-
-	Done, ToLimited, Let, Seen, Kept atomic.Int64 // messages over; of them to limited destinations, and let go; sights told; messages kept back for a sight
-	Waited                           atomic.Int64 // ns at the gate, of those let go
-
-	gate chan struct{}
-	mu   sync.Mutex
-	shut map[int64]time.Time // destinations known as down, until then; as many as are down
-	held map[int64]bool      // destinations of which there is no share now; as many as have a limit
+	opts      StubOptions
+	rng       *rand.Rand // used by the driver's goroutine only
+	load      atomic.Pointer[Load]
+	remaining atomic.Int64 // messages left to hand in; below 0 for no bound
+
+	// Messages that ended; messages to limited destinations, and those of them that were allowed a call; reports that a destination is down;
+	// messages withheld because the destination is believed down.
+	Completed, LimitedHandIns, Allowed, DownReports, Withheld atomic.Int64
+	LimitWait                                                 atomic.Int64 // total time that allowed messages waited, in ns
+
+	limitSlots   chan struct{}
+	mu           sync.Mutex
+	downUntil    map[int64]time.Time // when the belief that a destination is down expires; bounded by the number that are down
+	withoutLease map[int64]bool      // destinations of whose limit this sender has no share now; bounded by the number with a limit
 }
 
-func newDriver(w Wants, seed uint64) *driver {
-	d := &driver{w: w, rng: rand.New(rand.NewPCG(seed, 220)), gate: make(chan struct{}, gates), shut: map[int64]time.Time{}, held: map[int64]bool{}}
-	d.left.Store(-1)
+func newDriver(opts StubOptions, seed uint64) *driver {
+	d := &driver{opts: opts, rng: rand.New(rand.NewPCG(seed, 220)), limitSlots: make(chan struct{}, maxWaiting), downUntil: map[int64]time.Time{}, withoutLease: map[int64]bool{}}
+	d.remaining.Store(-1)
 	d.load.Store(&Load{})
 	return d
 }
 
-// run makes messages until ctx ends.
-func (d *driver) run(ctx context.Context, s sink) {
-	each := time.NewTicker(stride)
-	defer each.Stop()
-	var waiting sync.WaitGroup
-	defer waiting.Wait()
-	var owed [3]float64
+// run hands in messages until ctx ends.
+func (d *driver) run(ctx context.Context, s fleetRuntime) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	var running sync.WaitGroup
+	defer running.Wait()
+	var due [3]float64
 	for last := time.Now(); ; {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-each.C:
+		case now := <-ticker.C:
 			load := *d.load.Load()
 			for i, perSec := range [3]float64{load.Thin, load.Limited, load.Down} {
-				owed[i] = min(owed[i]+perSec*now.Sub(last).Seconds(), max(1, perSec*behind.Seconds()))
-				for ; owed[i] >= 1 && d.more(); owed[i]-- {
-					d.one(ctx, &waiting, s, d.draw(kind(i)))
+				due[i] = min(due[i]+perSec*now.Sub(last).Seconds(), max(1, perSec*maxBacklog.Seconds()))
+				for ; due[i] >= 1 && d.takeMessage(); due[i]-- {
+					d.sendMessage(ctx, &running, s, d.pickDestination(messageKind(i)))
 				}
 			}
 			last = now
@@ -101,109 +103,110 @@
 	}
 }
 
-// more counts a message off, where they are counted.
-func (d *driver) more() bool {
-	n := d.left.Load()
+// takeMessage reports whether another message may be handed in, and counts it if they are bounded.
+func (d *driver) takeMessage() bool {
+	n := d.remaining.Load()
 	if n > 0 {
-		d.left.Store(n - 1)
+		d.remaining.Store(n - 1)
 	}
 	return n != 0
 }
 
-// kind of a message, by its destination.
-type kind int
+// messageKind classifies a message by its destination.
+type messageKind int
 
 const (
-	thin kind = iota
-	toLimited
-	toDown
+	unlimitedMessage messageKind = iota
+	limitedMessage
+	downMessage
 )
 
-func (w Wants) kind(dst int64) kind {
+func (opts StubOptions) messageKind(dst int64) messageKind {
 	switch {
-	case w.EachLimited || limited(dst):
-		return toLimited
-	case down(dst):
-		return toDown
+	case opts.EachLimited || isLimited(dst):
+		return limitedMessage
+	case isDown(dst):
+		return downMessage
 	}
-	return thin
+	return unlimitedMessage
 }
 
-func (d *driver) draw(k kind) int64 {
+func (d *driver) pickDestination(k messageKind) int64 {
 	for {
-		if dst := d.rng.Int64N(d.w.destinations()); d.w.EachLimited || d.w.kind(dst) == k {
+		if dst := d.rng.Int64N(d.opts.destinationCount()); d.opts.EachLimited || d.opts.messageKind(dst) == k {
 			return dst
 		}
 	}
 }
 
-// one is a message's life, as relay.Engine tells it: it came, its leg begins, the gate is asked, the leg is over, it ended.
-func (d *driver) one(ctx context.Context, waiting *sync.WaitGroup, s sink, dst int64) {
-	s.Came(dst)
-	switch k := d.w.kind(dst); {
-	case k == toLimited:
-		d.ToLimited.Add(1)
+// sendMessage reports one message as relay.Engine does: accepted, leg started, call allowed or not, leg ended, message ended.
+func (d *driver) sendMessage(ctx context.Context, running *sync.WaitGroup, s fleetRuntime, dst int64) {
+	s.MessageAccepted(dst)
+	switch k := d.opts.messageKind(dst); {
+	case k == limitedMessage:
+		d.LimitedHandIns.Add(1)
 		select {
-		case d.gate <- struct{}{}:
-			waiting.Go(func() { defer func() { <-d.gate }(); d.limited(ctx, s, dst) })
+		case d.limitSlots <- struct{}{}:
+			running.Go(func() { defer func() { <-d.limitSlots }(); d.sendLimited(ctx, s, dst) })
 			return
-		default: // as many wait as may: it is pushed back
+		default: // too many messages wait: it is rejected
 		}
-	case k == toDown && d.knows(dst):
-		d.Kept.Add(1)
+	case k == downMessage && d.believesDown(dst):
+		d.Withheld.Add(1)
 	default:
-		s.Began(dst)
-		s.May(dst)
-		s.Paused(dst)
-		if k == toDown {
-			d.saw(s, dst)
+		s.LegStarted(dst)
+		s.AllowCall(dst)
+		s.LegEnded(dst)
+		if k == downMessage {
+			d.reportDown(s, dst)
 		}
 	}
-	s.Ended(dst)
-	d.Done.Add(1)
+	s.MessageEnded(dst)
+	d.Completed.Add(1)
 }
 
-// saw tells that a destination is down.
-func (d *driver) saw(s sink, dst int64) {
-	d.Seen.Add(1)
-	d.know(dst, time.Duration(verdicts.GreatestDown)*time.Microsecond)
-	s.Saw("r"+strconv.FormatInt(dst, 10), routing.Sight{Kind: routing.SeenDown, Dst: dst})
+// reportDown reports that a destination is down.
+func (d *driver) reportDown(s fleetRuntime, dst int64) {
+	d.DownReports.Add(1)
+	d.markDown(dst, time.Duration(verdicts.MaxAgeDown)*time.Microsecond)
+	s.ReportObservation("r"+strconv.FormatInt(dst, 10), routing.Observation{Kind: routing.ObservedDown, Dst: dst})
 }
 
-// limited is a message to a destination with a limit. A call that the gate sends back waits, as the decisions have it, until there is a share.
-func (d *driver) limited(ctx context.Context, s sink, dst int64) {
-	from, let := time.Now(), false
-	for !let && ctx.Err() == nil && time.Since(from) < gateMost {
-		if d.waits(dst) {
-			time.Sleep(stride)
+// sendLimited sends a message to a destination with a limit. As in the routing module, a call that is not allowed waits until the sender has
+// a share of the limit.
+func (d *driver) sendLimited(ctx context.Context, s fleetRuntime, dst int64) {
+	start, allowed := time.Now(), false
+	for !allowed && ctx.Err() == nil && time.Since(start) < maxLimitWait {
+		if d.lacksLease(dst) {
+			time.Sleep(tickInterval)
 			continue
 		}
-		s.Began(dst)
-		let = s.May(dst)
-		s.Paused(dst)
+		s.LegStarted(dst)
+		allowed = s.AllowCall(dst)
+		s.LegEnded(dst)
 	}
-	if let {
-		d.Let.Add(1)
-		d.Waited.Add(int64(time.Since(from)))
+	if allowed {
+		d.Allowed.Add(1)
+		d.LimitWait.Add(int64(time.Since(start)))
 	}
-	s.Ended(dst)
-	d.Done.Add(1)
+	s.MessageEnded(dst)
+	d.Completed.Add(1)
 }
 
-func (d *driver) waits(dst int64) bool {
+func (d *driver) lacksLease(dst int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.held[dst]
+	return d.withoutLease[dst]
 }
 
-func (d *driver) know(dst int64, span time.Duration) {
+func (d *driver) markDown(dst int64, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shut[dst] = time.Now().Add(span)
+	d.downUntil[dst] = time.Now().Add(duration)
 }
 
-func (d *driver) knows(dst int64) bool {
+func (d *driver) believesDown(dst int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Now().Before(d.shut[dst])
+	return time.Now().Before(d.downUntil[dst])
 }
--- a/internal/fleettest/scale_fleet_test.go
+++ b/internal/fleettest/scale_fleet_test.go
@@ -16,52 +16,52 @@
 )
 
 const (
-	patience  = 3 * time.Minute        // for a condition of a fleet at scale; no good run reaches it
-	scaleLook = 100 * time.Millisecond // between looks: each reads all senders' lines
-	perSender = 220.0                  // messages a second
+	scaleTimeout      = 3 * time.Minute        // for a condition of a large fleet; no correct run reaches it
+	scalePollInterval = 100 * time.Millisecond // each poll reads the log records of all senders
+	senderRate        = 220.0                  // messages per second of one sender at full rate
 )
 
-// HollowFleet is a fleet of hollow senders in this process, some of them in one beside it.
-type HollowFleet struct {
-	t      testing.TB
-	Listed []Place
-	Own    []*Hollow
-	task   zoneTask
-	zone   *zone
-	meter  *meter
-	first  bool // of this process
-	closed bool
+// StubFleet is a fleet of stub senders in this process, with some of them optionally in a second process.
+type StubFleet struct {
+	t              testing.TB
+	Listed         []PeerAddr
+	Local          []*StubSender
+	task           zoneTask
+	zone           *zone
+	meter          *meter
+	firstInProcess bool // whether it is the first fleet of this process
+	closed         bool
 }
 
-var fleets atomic.Int64 // of this process so far
+var fleetCount atomic.Int64 // started by this process so far
 
-// NewHollowFleet starts n senders, the last inZone of them in a process of their own; others are listed as well. reach says where one is
-// reached by another, where that is not its own address.
-func NewHollowFleet(t testing.TB, n, inZone int, w Wants, seed uint64, others []Place, reach map[[2]string]string) *HollowFleet {
+// NewStubFleet starts n senders, the last inZone of them in a process of their own. The peers in others are listed as well. linkAddrs gives
+// the address at which a sender (first name) reaches a peer (second name) if it is not the peer's own address.
+func NewStubFleet(t testing.TB, n, inZone int, opts StubOptions, seed uint64, others []PeerAddr, linkAddrs map[[2]string]string) *StubFleet {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "hollow")
+	dir, err := os.MkdirTemp("", "stubfleet")
 	require.NoError(t, err)
-	f := &HollowFleet{t: t, first: fleets.Add(1) == 1}
-	for i, addr := range reserved(t, n) {
-		f.Listed = append(f.Listed, Place{fmt.Sprintf("h%03d", i), addr})
+	f := &StubFleet{t: t, firstInProcess: fleetCount.Add(1) == 1}
+	for i, addr := range reserveAddrs(t, n) {
+		f.Listed = append(f.Listed, PeerAddr{fmt.Sprintf("h%03d", i), addr})
 	}
-	own, limits := n-inZone, w.declared()
-	f.task = zoneTask{Listed: f.Listed, First: own, Dir: dir, Wants: w, Seed: seed}
-	f.meter = newMeter(f.Listed[:own])
+	local, limits := n-inZone, opts.declaredLimits()
+	f.task = zoneTask{Listed: f.Listed, First: local, Dir: dir, StubOptions: opts, Seed: seed}
+	f.meter = newMeter(f.Listed[:local])
 	t.Cleanup(f.Close)
-	for i, p := range f.Listed[:own] {
-		table := tableOf(append(append([]Place(nil), f.Listed...), others...), p, limits)
-		if i < w.Lacking {
+	for i, p := range f.Listed[:local] {
+		table := fleetTable(append(append([]PeerAddr(nil), f.Listed...), others...), p, limits)
+		if i < opts.Lacking {
 			table.Peers = slices.DeleteFunc(table.Peers, func(p links.PeerTable) bool { return p.Name == f.Listed[n-1].Name })
 		}
 		for j, peer := range table.Peers {
-			if addr := reach[[2]string{p.Name, peer.Name}]; addr != "" {
+			if addr := linkAddrs[[2]string{p.Name, peer.Name}]; addr != "" {
 				table.Peers[j].Address = addr
 			}
 		}
-		f.Own = append(f.Own, NewHollow(p, dir, table, w, seed<<16+uint64(i)))
+		f.Local = append(f.Local, NewStubSender(p, dir, table, opts, seed<<16+uint64(i)))
 	}
-	for _, h := range f.Own {
+	for _, h := range f.Local {
 		require.NoError(t, h.Start())
 	}
 	if inZone > 0 {
@@ -70,37 +70,37 @@
 	return f
 }
 
-// stopAll has all senders of this process leave, side by side.
-func (f *HollowFleet) stopAll() {
+// stopLocal stops all senders of this process concurrently.
+func (f *StubFleet) stopLocal() {
 	var all sync.WaitGroup
-	for _, h := range f.Own {
+	for _, h := range f.Local {
 		all.Go(h.Stop)
 	}
 	all.Wait()
 }
 
-// Close ends all of it; a second time it does nothing.
-func (f *HollowFleet) Close() {
+// Close stops the fleet. Further calls do nothing.
+func (f *StubFleet) Close() {
 	if f.closed {
 		return
 	}
 	f.closed = true
-	f.stopAll()
+	f.stopLocal()
 	if f.zone != nil {
 		f.zone.kill()
 	}
 	f.meter.close()
 	if f.t.Failed() {
-		for _, h := range f.Own[:min(3, len(f.Own))] {
-			f.t.Log(h.Name, "warned:", h.Lines.warnings())
+		for _, h := range f.Local[:min(3, len(f.Local))] {
+			f.t.Log(h.Name, "log problems:", h.Records.problemCounts())
 		}
 	}
 	_ = os.RemoveAll(f.task.Dir)
 }
 
-// Load changes what all drivers do.
-func (f *HollowFleet) Load(l Load) {
-	for _, h := range f.Own {
+// Load sets the load of all drivers.
+func (f *StubFleet) Load(l Load) {
+	for _, h := range f.Local {
 		h.Driver.load.Store(&l)
 	}
 	if f.zone != nil {
@@ -108,52 +108,52 @@
 	}
 }
 
-// Until waits for a condition of every sender of this process.
-func (f *HollowFleet) Until(what string, done func(*Hollow) bool) {
+// WaitUntil waits until a condition holds for every sender of this process.
+func (f *StubFleet) WaitUntil(what string, done func(*StubSender) bool) {
 	f.t.Helper()
-	left := f.Own
-	ok := func() bool {
-		for len(left) > 0 && done(left[0]) {
-			left = left[1:]
+	remaining := f.Local
+	allDone := func() bool {
+		for len(remaining) > 0 && done(remaining[0]) {
+			remaining = remaining[1:]
 		}
-		return len(left) == 0
+		return len(remaining) == 0
 	}
-	limit := time.Now().Add(patience)
-	for !ok() {
-		require.True(f.t, time.Now().Before(limit), "never: %s; %d of %d left, first %s", what, len(left), len(f.Own), left[0].Name)
-		time.Sleep(scaleLook)
+	deadline := time.Now().Add(scaleTimeout)
+	for !allDone() {
+		require.True(f.t, time.Now().Before(deadline), "timeout: %s; %d of %d senders left, first %s", what, len(remaining), len(f.Local), remaining[0].Name)
+		time.Sleep(scalePollInterval)
 	}
 }
 
-// besides are the listed senders but one, and further ones.
-func besides(all []Place, one Place, more ...Place) (others []Place) {
-	for _, p := range append(append([]Place(nil), all...), more...) {
-		if p != one {
-			others = append(others, p)
+// others returns the listed senders without one of them, plus further ones.
+func others(all []PeerAddr, excluded PeerAddr, extra ...PeerAddr) (rest []PeerAddr) {
+	for _, p := range append(append([]PeerAddr(nil), all...), extra...) {
+		if p != excluded {
+			rest = append(rest, p)
 		}
 	}
-	return others
+	return rest
 }
 
-// UntilMet waits until each sees each other alive.
-func (f *HollowFleet) UntilMet(more ...Place) {
+// WaitAllAlive waits until every sender sees all others alive.
+func (f *StubFleet) WaitAllAlive(extra ...PeerAddr) {
 	f.t.Helper()
-	f.Until("all see all", func(h *Hollow) bool { return h.Lines.sees(members.Alive, besides(f.Listed, h.Place, more...)) })
+	f.WaitUntil("all senders see all others alive", func(h *StubSender) bool { return h.Records.sees(members.Alive, others(f.Listed, h.PeerAddr, extra...)) })
 }
 
-// zoned are the zone's senders.
-func (f *HollowFleet) zoned() []Place { return f.Listed[f.task.First:] }
+// zoneAddrs returns the senders of the zone.
+func (f *StubFleet) zoneAddrs() []PeerAddr { return f.Listed[f.task.First:] }
 
-// sum adds a count of all drivers.
-func (f *HollowFleet) sum(of func(*driver) int64) (n float64) {
-	for _, h := range f.Own {
+// sumDrivers sums a count over all drivers.
+func (f *StubFleet) sumDrivers(of func(*driver) int64) (n float64) {
+	for _, h := range f.Local {
 		n += float64(of(h.Driver))
 	}
 	return n
 }
 
-// linesSince is how many lines of counts a sender has written since.
-func (l *lines) linesSince(at time.Time) (n int) {
+// countsSince is the number of counts records that the sender has logged since a time.
+func (l *logRecorder) countsSince(at time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.counts {
@@ -164,71 +164,72 @@
 	return n
 }
 
-// warnings counts by text what its log warned of.
-func (l *lines) warnings() map[string]int {
+// problemCounts returns the warnings and errors logged, by text.
+func (l *logRecorder) problemCounts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[string]int{}
-	for text, n := range l.bad {
+	for text, n := range l.problems {
 		all[text] = n
 	}
 	return all
 }
 
-// tally is what drivers have made so far.
-type tally struct{ done, limited, let, waited, seen, kept float64 }
+// totals sums the counts of all drivers.
+type totals struct{ completed, limited, allowed, limitWait, downReports, withheld float64 }
 
-func (f *HollowFleet) tally() tally {
-	return tally{f.sum(func(d *driver) int64 { return d.Done.Load() }), f.sum(func(d *driver) int64 { return d.ToLimited.Load() }),
-		f.sum(func(d *driver) int64 { return d.Let.Load() }), f.sum(func(d *driver) int64 { return d.Waited.Load() }),
-		f.sum(func(d *driver) int64 { return d.Seen.Load() }), f.sum(func(d *driver) int64 { return d.Kept.Load() })}
+func (f *StubFleet) totals() totals {
+	return totals{f.sumDrivers(func(d *driver) int64 { return d.Completed.Load() }), f.sumDrivers(func(d *driver) int64 { return d.LimitedHandIns.Load() }),
+		f.sumDrivers(func(d *driver) int64 { return d.Allowed.Load() }), f.sumDrivers(func(d *driver) int64 { return d.LimitWait.Load() }),
+		f.sumDrivers(func(d *driver) int64 { return d.DownReports.Load() }), f.sumDrivers(func(d *driver) int64 { return d.Withheld.Load() })}
 }
 
-// moment is what had been spent by then.
-type moment struct {
-	at      time.Time
-	passed  traffic
-	worked  time.Duration
-	made    tally
-	machine string
+// snapshot is the state of all counters at a time.
+type snapshot struct {
+	at          time.Time
+	transferred traffic
+	cpuTime     time.Duration
+	drivers     totals
+	systemLoad  string
 }
 
-func (f *HollowFleet) now() moment {
-	m := moment{at: time.Now(), passed: f.meter.look(), made: f.tally(), machine: machineLoad()}
-	m.worked = processTime() - f.meter.spent()
+func (f *StubFleet) takeSnapshot() snapshot {
+	m := snapshot{at: time.Now(), transferred: f.meter.sample(), drivers: f.totals(), systemLoad: loadAverage()}
+	m.cpuTime = processTime() - f.meter.overhead()
 	return m
 }
 
-// Rates are figures of one sender and second, by name.
+// Rates are values per sender and second, by name.
 type Rates map[string]float64
 
-// rates between two moments.
-func (f *HollowFleet) rates(a, b moment) Rates {
-	own := float64(len(f.Own))
-	each := b.at.Sub(a.at).Seconds() * own
-	in, out := float64(b.passed.in-a.passed.in), float64(b.passed.out-a.passed.out)
-	r := Rates{"seconds": b.at.Sub(a.at).Seconds(), "bytes": (in + out) / each, "posts": in / each, "answers": out / each,
-		"segments": float64(b.passed.segments-a.passed.segments) / each, "core": 100 * (b.worked - a.worked).Seconds() / each,
-		"messages": (b.made.done - a.made.done) / each, "limited": (b.made.limited - a.made.limited) / each,
-		"let": (b.made.let - a.made.let) / each, "waited": (b.made.waited - a.made.waited) / each / 1e9,
-		"sights": (b.made.seen - a.made.seen) / each, "kept": (b.made.kept - a.made.kept) / each}
-	for _, h := range f.Own {
-		for name, v := range h.Lines.between(a.at, b.at) {
-			r[name] += v / own
+// rates computes the rates between two snapshots.
+func (f *StubFleet) rates(a, b snapshot) Rates {
+	senders := float64(len(f.Local))
+	senderSeconds := b.at.Sub(a.at).Seconds() * senders
+	in, out := float64(b.transferred.in-a.transferred.in), float64(b.transferred.out-a.transferred.out)
+	r := Rates{"seconds": b.at.Sub(a.at).Seconds(), "bytes": (in + out) / senderSeconds, "posts": in / senderSeconds, "answers": out / senderSeconds,
+		"segments": float64(b.transferred.segments-a.transferred.segments) / senderSeconds, "core": 100 * (b.cpuTime - a.cpuTime).Seconds() / senderSeconds,
+		"messages": (b.drivers.completed - a.drivers.completed) / senderSeconds, "limited": (b.drivers.limited - a.drivers.limited) / senderSeconds,
+		"let": (b.drivers.allowed - a.drivers.allowed) / senderSeconds, "waited": (b.drivers.limitWait - a.drivers.limitWait) / senderSeconds / 1e9,
+		"sights": (b.drivers.downReports - a.drivers.downReports) / senderSeconds, "kept": (b.drivers.withheld - a.drivers.withheld) / senderSeconds}
+	for _, h := range f.Local {
+		for name, v := range h.Records.ratesBetween(a.at, b.at) {
+			r[name] += v / senders
 		}
 	}
 	return r
 }
 
-// window measures a load: it begins when each sender has written so many lines of counts under it, and ends when each has written two more.
-func (f *HollowFleet) window(l Load, settle int) Rates {
+// measureLoad measures the rates under a load. The measurement starts once every sender has logged settleLines counts records under the load
+// and ends when each has logged two more.
+func (f *StubFleet) measureLoad(l Load, settleLines int) Rates {
 	f.t.Helper()
 	f.Load(l)
 	at := time.Now()
-	f.Until("lines of counts", func(h *Hollow) bool { return h.Lines.linesSince(at) >= settle })
-	from := f.now()
-	f.Until("two lines of counts", func(h *Hollow) bool { return h.Lines.linesSince(from.at) >= 2 })
-	to := f.now()
-	f.t.Logf("%d senders, %+v: load %s to %s: %v", len(f.Listed), l, from.machine, to.machine, f.rates(from, to))
+	f.WaitUntil("counts records logged", func(h *StubSender) bool { return h.Records.countsSince(at) >= settleLines })
+	from := f.takeSnapshot()
+	f.WaitUntil("two more counts records logged", func(h *StubSender) bool { return h.Records.countsSince(from.at) >= 2 })
+	to := f.takeSnapshot()
+	f.t.Logf("%d senders, %+v: load %s to %s: %v", len(f.Listed), l, from.systemLoad, to.systemLoad, f.rates(from, to))
 	return f.rates(from, to)
 }
--- a/internal/fleettest/scale_judge_test.go
+++ b/internal/fleettest/scale_judge_test.go
@@ -8,71 +8,72 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Bounds of what a fleet may cost, for the short form. They count bytes and letters: a busy machine makes seconds longer, and these not greater.
+// Cost bounds of a fleet for TestScaleInShort. They limit bytes and peer messages, which unlike times do not grow on a busy machine.
 const (
-	mostBytesAMessage   = 27.0  // that messages to destinations which are up and have no limit add, posts and answers, heads included
-	mostLettersAMessage = 0.1   // of each kind but members'
-	mostBytesALetter    = 400.0 // of all that passed; a post and its answer are 200 without a frame
-	mostBeats           = 60.0  // letters on members a sender and second; usual are 26
-	meeting             = 40.0  // letters on members to each other sender until all have met
+	maxBytesPerMessage        = 27.0  // added by a message to a destination that is up and has no limit; requests and responses including HTTP headers
+	maxPeerMessagesPerMessage = 0.1   // of each kind except membership
+	maxBytesPerPeerMessage    = 400.0 // of all traffic; a request and its response take 200 without a frame
+	maxMemberMessageRate      = 60.0  // membership messages per sender and second; 26 is normal
+	maxJoinMessages           = 40.0  // membership messages of a sender to each other one until all see each other alive
 )
 
-// Cost is what a fleet has told, all senders together.
+// Cost is the traffic of a fleet, summed over all senders.
 type Cost struct {
 	Senders                  int
 	Seconds, Messages, Bytes float64
-	Letters                  map[string]float64 // sent, by kind
+	PeerMessages             map[string]float64 // peer messages sent, by kind
 }
 
-func (c Cost) letters() (n float64) {
-	for _, k := range c.Letters {
+func (c Cost) totalPeerMessages() (n float64) {
+	for _, k := range c.PeerMessages {
 		n += k
 	}
 	return n
 }
 
-// costly names what a loaded fleet tells too much of, beside one at rest. Letters on members are the clock: their number goes with time alone.
-func costly(rest, loaded Cost) (faults []string) {
-	beats := loaded.Letters["members"] / rest.Letters["members"]
-	if n := (loaded.Bytes - rest.Bytes*beats) / loaded.Messages; n > mostBytesAMessage {
-		faults = append(faults, fmt.Sprintf("bytes: %.1f a message", n))
+// exceededCosts describes what a loaded fleet sends too much of, compared with an idle one. Membership messages serve as the clock, because
+// their number depends on elapsed time alone.
+func exceededCosts(rest, loaded Cost) (exceeded []string) {
+	timeRatio := loaded.PeerMessages["members"] / rest.PeerMessages["members"]
+	if n := (loaded.Bytes - rest.Bytes*timeRatio) / loaded.Messages; n > maxBytesPerMessage {
+		exceeded = append(exceeded, fmt.Sprintf("bytes: %.1f per message", n))
 	}
 	for _, kind := range []string{"shares", "verdicts", "purge", "channels"} {
-		if n := (loaded.Letters[kind] - rest.Letters[kind]*beats) / loaded.Messages; n > mostLettersAMessage {
-			faults = append(faults, fmt.Sprintf("letters: %.2f on %s a message", n, kind))
+		if n := (loaded.PeerMessages[kind] - rest.PeerMessages[kind]*timeRatio) / loaded.Messages; n > maxPeerMessagesPerMessage {
+			exceeded = append(exceeded, fmt.Sprintf("peer messages: %.2f on %s per message", n, kind))
 		}
 	}
 	for _, c := range []Cost{rest, loaded} {
-		if n := c.Bytes / c.letters(); n > mostBytesALetter {
-			faults = append(faults, fmt.Sprintf("bytes: %.0f a letter", n))
+		if n := c.Bytes / c.totalPeerMessages(); n > maxBytesPerPeerMessage {
+			exceeded = append(exceeded, fmt.Sprintf("bytes: %.0f per peer message", n))
 		}
-		most := float64(c.Senders) * (mostBeats*c.Seconds + meeting*float64(c.Senders))
-		if n := c.Letters["members"]; n > most {
-			faults = append(faults, fmt.Sprintf("letters: %.0f on members, %.0f are allowed", n, most))
+		limit := float64(c.Senders) * (maxMemberMessageRate*c.Seconds + maxJoinMessages*float64(c.Senders))
+		if n := c.PeerMessages["members"]; n > limit {
+			exceeded = append(exceeded, fmt.Sprintf("peer messages: %.0f on members, limit %.0f", n, limit))
 		}
 	}
-	return faults
+	return exceeded
 }
 
-func TestCostJudgeFindsEachFault(t *testing.T) {
+func TestExceededCostsAreReported(t *testing.T) {
 	t.Parallel()
-	sound := func() Cost {
-		return Cost{Senders: 8, Seconds: 4, Messages: 8000, Bytes: 200_000, Letters: map[string]float64{"members": 832, "verdicts": 64}}
+	goodCost := func() Cost {
+		return Cost{Senders: 8, Seconds: 4, Messages: 8000, Bytes: 200_000, PeerMessages: map[string]float64{"members": 832, "verdicts": 64}}
 	}
-	require.Empty(t, costly(sound(), sound()))
-	slow := sound()
-	slow.Seconds, slow.Bytes, slow.Letters["members"], slow.Letters["verdicts"] = 40, 2_000_000, 8320, 640
-	require.Empty(t, costly(sound(), slow), "ten times the time for the same messages")
-	for want, plant := range map[string]func(*Cost){
-		"bytes: 200.0 a message":                     func(c *Cost) { c.Bytes += 200 * c.Messages; c.Letters["members"] *= 1 },
-		"letters: 1.00 on shares a message":          func(c *Cost) { c.Letters["shares"] += c.Messages },
-		"letters: 1.00 on verdicts a message":        func(c *Cost) { c.Letters["verdicts"] += c.Messages },
-		"letters: 0.11 on channels a message":        func(c *Cost) { c.Letters["channels"] += 0.11 * c.Messages },
-		"bytes: 1116 a letter":                       func(c *Cost) { c.Bytes *= 5 },
-		"letters: 8320 on members, 4480 are allowed": func(c *Cost) { c.Letters["members"] *= 10; c.Bytes *= 10 },
+	require.Empty(t, exceededCosts(goodCost(), goodCost()))
+	slow := goodCost()
+	slow.Seconds, slow.Bytes, slow.PeerMessages["members"], slow.PeerMessages["verdicts"] = 40, 2_000_000, 8320, 640
+	require.Empty(t, exceededCosts(goodCost(), slow), "ten times the duration for the same messages")
+	for want, exceed := range map[string]func(*Cost){
+		"bytes: 200.0 per message":                    func(c *Cost) { c.Bytes += 200 * c.Messages; c.PeerMessages["members"] *= 1 },
+		"peer messages: 1.00 on shares per message":   func(c *Cost) { c.PeerMessages["shares"] += c.Messages },
+		"peer messages: 1.00 on verdicts per message": func(c *Cost) { c.PeerMessages["verdicts"] += c.Messages },
+		"peer messages: 0.11 on channels per message": func(c *Cost) { c.PeerMessages["channels"] += 0.11 * c.Messages },
+		"bytes: 1116 per peer message":                func(c *Cost) { c.Bytes *= 5 },
+		"peer messages: 8320 on members, limit 4480":  func(c *Cost) { c.PeerMessages["members"] *= 10; c.Bytes *= 10 },
 	} {
-		c := sound()
-		plant(&c)
-		require.True(t, slices.Contains(costly(sound(), c), want), "%s: %v", want, costly(sound(), c))
+		c := goodCost()
+		exceed(&c)
+		require.True(t, slices.Contains(exceededCosts(goodCost(), c), want), "%s: %v", want, exceededCosts(goodCost(), c))
 	}
 }
--- a/internal/fleettest/scale_meter_test.go
+++ b/internal/fleettest/scale_meter_test.go
@@ -12,41 +12,41 @@
 	"golang.org/x/sys/unix"
 )
 
-const meterEach = 5 * time.Second // between two looks: a connection that ends is missed by less than what passed since
+const sampleInterval = 5 * time.Second // bounds the traffic that is missed of a connection that ends between two samples
 
-// meter counts at the sockets of this process what passed on connections that were accepted at given addresses: the kernel's own counts
-// (TCP_INFO), HTTP heads included. What is heard there is posts of others; what is said there is answers.
+// meter counts the traffic on connections that this process accepted at given addresses, from the kernel's counters (TCP_INFO) and so
+// including HTTP headers. Incoming traffic is requests of peers, outgoing traffic the responses to them.
 type meter struct {
-	own  map[string]bool // addresses
-	mu   sync.Mutex
-	seen map[uint64]traffic // by the socket's cookie; emptied as it adds up
-	past traffic            // of connections that ended
-	cost time.Duration      // processor time of the looks
-	done chan struct{}
-	over sync.WaitGroup
+	addrs    map[string]bool // at which the counted connections are accepted
+	mu       sync.Mutex
+	lastSeen map[uint64]traffic // open connections as of the last sample, by socket cookie
+	ended    traffic            // sum over connections that have closed
+	cpu      time.Duration      // CPU time of sampling
+	done     chan struct{}
+	running  sync.WaitGroup
 }
 
-// traffic is what passed on connections.
+// traffic is the bytes and segments of connections.
 type traffic struct{ in, out, segments uint64 }
 
 func (a traffic) add(b traffic) traffic {
 	return traffic{a.in + b.in, a.out + b.out, a.segments + b.segments}
 }
 
-func newMeter(all []Place) *meter {
-	m := &meter{own: map[string]bool{}, seen: map[uint64]traffic{}, done: make(chan struct{})}
+func newMeter(all []PeerAddr) *meter {
+	m := &meter{addrs: map[string]bool{}, lastSeen: map[uint64]traffic{}, done: make(chan struct{})}
 	for _, p := range all {
-		m.own[p.Addr] = true
+		m.addrs[p.Addr] = true
 	}
-	m.over.Go(func() {
-		each := time.NewTicker(meterEach)
-		defer each.Stop()
+	m.running.Go(func() {
+		ticker := time.NewTicker(sampleInterval)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-m.done:
 				return
-			case <-each.C:
-				m.look()
+			case <-ticker.C:
+				m.sample()
 			}
 		}
 	})
@@ -55,11 +55,11 @@
 
 func (m *meter) close() {
 	close(m.done)
-	m.over.Wait()
+	m.running.Wait()
 }
 
-// look reads all sockets and gives what has passed so far.
-func (m *meter) look() traffic {
+// sample reads all sockets and returns the traffic so far.
+func (m *meter) sample() traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	runtime.LockOSThread()
@@ -71,35 +71,35 @@
 			now[cookie] = t
 		}
 	}
-	sum := m.past
-	for cookie, t := range m.seen {
-		if _, lives := now[cookie]; !lives {
-			m.past, sum = m.past.add(t), sum.add(t)
+	sum := m.ended
+	for cookie, t := range m.lastSeen {
+		if _, open := now[cookie]; !open {
+			m.ended, sum = m.ended.add(t), sum.add(t)
 		}
 	}
 	for _, t := range now {
 		sum = sum.add(t)
 	}
-	m.seen = now
-	m.cost += threadTime() - from
+	m.lastSeen = now
+	m.cpu += threadTime() - from
 	return sum
 }
 
-func (m *meter) spent() time.Duration {
+func (m *meter) overhead() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.cost
+	return m.cpu
 }
 
-// read gives a socket's counts; false for what is no accepted connection of these addresses. A descriptor may be another's by now: nothing
-// is done to it but to ask.
+// read returns a socket's counters, or false if it is not a connection accepted at one of the addresses. The descriptor may have been closed
+// and reused, so it is only queried.
 func (m *meter) read(fd int) (cookie uint64, t traffic, is bool) {
 	at, err := unix.Getsockname(fd)
 	if err != nil {
 		return 0, t, false
 	}
 	in, ok := at.(*unix.SockaddrInet4)
-	if !ok || !m.own[address(in)] {
+	if !ok || !m.addrs[addrString(in)] {
 		return 0, t, false
 	}
 	if cookie, err = unix.GetsockoptUint64(fd, unix.SOL_SOCKET, unix.SO_COOKIE); err != nil {
@@ -112,7 +112,7 @@
 	return cookie, traffic{info.Bytes_received, info.Bytes_sent, uint64(info.Segs_in) + uint64(info.Segs_out)}, true
 }
 
-func address(in *unix.SockaddrInet4) string {
+func addrString(in *unix.SockaddrInet4) string {
 	var b strings.Builder
 	for i, part := range in.Addr {
 		if i > 0 {
@@ -123,7 +123,7 @@
 	return b.String() + ":" + strconv.Itoa(in.Port)
 }
 
-// descriptors lists those of this process.
+// descriptors lists the open file descriptors of this process.
 func descriptors() (fds []int) {
 	names, err := filepath.Glob("/proc/self/fd/*")
 	if err != nil {
@@ -137,26 +137,26 @@
 	return fds
 }
 
-func spentBy(who int) time.Duration {
+func rusageTime(scope int) time.Duration {
 	var u unix.Rusage
-	if unix.Getrusage(who, &u) != nil {
+	if unix.Getrusage(scope, &u) != nil {
 		return 0
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func threadTime() time.Duration  { return spentBy(unix.RUSAGE_THREAD) }
-func processTime() time.Duration { return spentBy(unix.RUSAGE_SELF) }
+func threadTime() time.Duration  { return rusageTime(unix.RUSAGE_THREAD) }
+func processTime() time.Duration { return rusageTime(unix.RUSAGE_SELF) }
 
-// size is what this process holds: live objects and stacks, resident pages, descriptors, goroutines.
-type size struct{ heap, resident, descriptors, goroutines float64 }
+// resourceUsage is the usage of this process: live objects and stacks in bytes, resident memory in bytes, file descriptors, goroutines.
+type resourceUsage struct{ heap, resident, descriptors, goroutines float64 }
 
-func sizeNow() size {
+func currentUsage() resourceUsage {
 	var s runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what the first one finalized
+	runtime.GC() // frees what the first run finalized
 	runtime.ReadMemStats(&s)
-	z := size{heap: float64(s.HeapAlloc + s.StackInuse), descriptors: float64(len(descriptors())), goroutines: float64(runtime.NumGoroutine())}
+	z := resourceUsage{heap: float64(s.HeapAlloc + s.StackInuse), descriptors: float64(len(descriptors())), goroutines: float64(runtime.NumGoroutine())}
 	if text, err := os.ReadFile("/proc/self/statm"); err == nil {
 		if f := strings.Fields(string(text)); len(f) > 1 {
 			pages, _ := strconv.ParseFloat(f[1], 64)
@@ -166,8 +166,8 @@
 	return z
 }
 
-// load is the machine's, as one line.
-func machineLoad() string {
+// loadAverage returns the machine's load averages.
+func loadAverage() string {
 	text, _ := os.ReadFile("/proc/loadavg")
 	return strings.Join(strings.Fields(string(text))[:3], " ")
 }
--- a/internal/fleettest/scale_test.go
+++ b/internal/fleettest/scale_test.go
@@ -11,40 +11,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestScale measures fleets of the sizes that FLEETTEST_SCALE names, such as 10,30, each with FLEETTEST_SCALE_SEEDS seeds, and writes
-// the fits to FLEETTEST_SCALE_INTO. FLEETTEST_SCALE_PREDICT names one size more: its figures are predicted from the fits that
-// FLEETTEST_SCALE_INTO has by then, written to the log, and only then measured beside them. FLEETTEST_SCALE_RATES names rates of
-// messages, such as 55,220, for a few senders; FLEETTEST_SCALE_WEIGHTS sizes of which memory alone is measured; FLEETTEST_SCALE_LACKING
-// how many of six senders have another list than the rest, such as 0,3. Without the variables it does nothing: CI has TestScaleInShort.
+// TestScale runs the measurements selected by environment variables and does nothing without them; CI has TestScaleInShort.
+//
+//   - FLEETTEST_SCALE: fleet sizes to measure, such as 10,30, each with FLEETTEST_SCALE_SEEDS seeds
+//   - FLEETTEST_SCALE_RATES: message rates to measure on a few senders, such as 55,220
+//   - FLEETTEST_SCALE_WEIGHTS: fleet sizes of which only heap, file descriptors and goroutines are measured
+//   - FLEETTEST_SCALE_LACKING: how many of six senders list one peer less than the others, such as 0,3
+//   - FLEETTEST_SCALE_PREDICT: a fleet size whose figures are predicted from the fits, logged, and only then measured for comparison
+//   - FLEETTEST_SCALE_INTO: the file that the fits are written to and predictions are made from
 func TestScale(t *testing.T) {
-	var runs []sized
-	from := machineLoad()
+	var runs []sizedRun
+	from := loadAverage()
 	seeds, err := strconv.Atoi(os.Getenv("FLEETTEST_SCALE_SEEDS"))
 	if err != nil {
 		seeds = 2
 	}
 	for seed := range seeds {
-		for _, n := range numbers(t, os.Getenv("FLEETTEST_SCALE")) {
-			runs = append(runs, sized{int(n), uint64(seed + 1), measure(t, int(n), uint64(seed+1))})
-			keepFigures(t, figures(runs, "measured", ofRun(t, from, machineLoad())))
+		for _, n := range parseNumbers(t, os.Getenv("FLEETTEST_SCALE")) {
+			runs = append(runs, sizedRun{int(n), uint64(seed + 1), measureFleet(t, int(n), uint64(seed+1))})
+			saveFigures(t, fitFigures(runs, "measured", describeRun(t, from, loadAverage())))
 		}
 	}
-	if rates := numbers(t, os.Getenv("FLEETTEST_SCALE_RATES")); len(rates) > 0 {
-		keepFigures(t, byRate(t, rates, seeds))
+	if rates := parseNumbers(t, os.Getenv("FLEETTEST_SCALE_RATES")); len(rates) > 0 {
+		saveFigures(t, measureByRate(t, rates, seeds))
 	}
-	if sizes := numbers(t, os.Getenv("FLEETTEST_SCALE_WEIGHTS")); len(sizes) > 0 {
-		keepFigures(t, weights(t, sizes, seeds))
+	if sizes := parseNumbers(t, os.Getenv("FLEETTEST_SCALE_WEIGHTS")); len(sizes) > 0 {
+		saveFigures(t, measureResources(t, sizes, seeds))
 	}
-	for _, lacking := range numbers(t, os.Getenv("FLEETTEST_SCALE_LACKING")) {
-		differing(t, int(lacking))
+	for _, incomplete := range parseNumbers(t, os.Getenv("FLEETTEST_SCALE_LACKING")) {
+		measureIncompleteLists(t, int(incomplete))
 	}
 	if n, err := strconv.Atoi(os.Getenv("FLEETTEST_SCALE_PREDICT")); err == nil {
 		predict(t, n)
 	}
 }
 
-// numbers reads a list such as 10,30.
-func numbers(t *testing.T, list string) (all []float64) {
+// parseNumbers parses a comma-separated list such as 10,30.
+func parseNumbers(t *testing.T, list string) (all []float64) {
 	for _, text := range strings.FieldsFunc(list, func(r rune) bool { return r == ',' }) {
 		n, err := strconv.ParseFloat(text, 64)
 		require.NoError(t, err)
@@ -53,57 +56,59 @@
 	return all
 }
 
-// predict tells what the fits say of a size, and then measures it. What was measured goes into the fits.
+// predict logs the figures that the fits predict for a fleet size, measures them, and adds the measurement to the fits.
 func predict(t *testing.T, n int) {
-	fits, from := readFigures(t, os.Getenv("FLEETTEST_SCALE_INTO")), machineLoad()
-	said := foretell(fits, float64(n))
-	require.NotEmpty(t, said, "no fits to predict from")
-	for _, name := range slices.Sorted(maps.Keys(said)) {
-		t.Logf("predicted for %d senders: %s %.4g", n, name, said[name])
+	fits, from := readFigures(t, os.Getenv("FLEETTEST_SCALE_INTO")), loadAverage()
+	predicted := predictFigures(fits, float64(n))
+	require.NotEmpty(t, predicted, "no fits to predict from")
+	for _, name := range slices.Sorted(maps.Keys(predicted)) {
+		t.Logf("prediction for %d senders: %s %.4g", n, name, predicted[name])
 	}
-	run := sized{n, 1, measure(t, n, 1)}
-	for _, f := range figures([]sized{run}, "measured", "") {
-		is := f.Points[0][1]
-		t.Logf("| %s | %s | %.4g | %.4g | %+.0f%% |", f.Name, f.Unit, said[f.Name], is, 100*(is/said[f.Name]-1))
+	run := sizedRun{n, 1, measureFleet(t, n, 1)}
+	for _, f := range fitFigures([]sizedRun{run}, "measured", "") {
+		measured := f.Points[0][1]
+		t.Logf("| %s | %s | %.4g | %.4g | %+.0f%% |", f.Name, f.Unit, predicted[f.Name], measured, 100*(measured/predicted[f.Name]-1))
 		if i := slices.IndexFunc(fits, func(k Figure) bool { return k.Name == f.Name }); i >= 0 {
 			fits[i].Points = append(fits[i].Points, f.Points[0])
-			fits[i].Run += "; " + ofRun(t, from, machineLoad())
-			fits[i].fit()
-			fits[i].short()
+			fits[i].Run += "; " + describeRun(t, from, loadAverage())
+			fits[i].fitLine()
+			fits[i].roundFit()
 		}
 	}
-	keepFigures(t, fits)
+	saveFigures(t, fits)
 }
 
-// foretell reads the lines at a size. What limits cost goes with the destinations that have an owner, whose number has a bound: it is
-// reckoned from the letters on one, and, as letters to more peers find fewer to go with, from the bytes of a letter at rest, which goes alone.
-func foretell(fits []Figure, n float64) map[string]float64 {
-	said := map[string]float64{}
+// predictFigures evaluates the fits at a fleet size. The cost of limits is proportional to the number of destinations that have an owner,
+// which is bounded. It is computed from the peer messages per such destination and from the bytes of a peer message at rest, which is sent on
+// its own: the more peers there are, the fewer messages share a request.
+func predictFigures(fits []Figure, n float64) map[string]float64 {
+	predicted := map[string]float64{}
 	for _, f := range fits {
 		if f.Per == "sender in the fleet" {
-			said[f.Name] = f.at(n)
+			predicted[f.Name] = f.valueAt(n)
 		}
-		if f.Per == "sender in the fleet" && f.Unit == perCore {
-			said[f.Name] = shared(f, n)
+		if f.Per == "sender in the fleet" && f.Unit == corePercent {
+			predicted[f.Name] = predictShared(f, n)
 		}
 	}
-	if len(said) == 0 {
-		return said
+	if len(predicted) == 0 {
+		return predicted
 	}
-	const messages = perSender * limitPct
-	letters, lone := inUse(n)/n*said["letters_a_limited_destination"], said["bytes_rest"]/(said["letters_members_rest"]+said["letters_verdicts_rest"])
-	said["letters_shares_limits"], said["letters_a_limited_message"] = letters, letters/messages
-	said["bytes_limits"], said["bytes_a_limited_message"] = said["bytes_thin"]+letters*lone, letters*lone/messages
-	said["bytes_a_limited_destination"] = lone * said["letters_a_limited_destination"]
-	return said
+	const messages = senderRate * limitedFraction
+	peerMessages, bytesAlone := activeLimits(n)/n*predicted["letters_a_limited_destination"], predicted["bytes_rest"]/(predicted["letters_members_rest"]+predicted["letters_verdicts_rest"])
+	predicted["letters_shares_limits"], predicted["letters_a_limited_message"] = peerMessages, peerMessages/messages
+	predicted["bytes_limits"], predicted["bytes_a_limited_message"] = predicted["bytes_thin"]+peerMessages*bytesAlone, peerMessages*bytesAlone/messages
+	predicted["bytes_a_limited_destination"] = bytesAlone * predicted["letters_a_limited_destination"]
+	return predicted
 }
 
-// shared reads a figure of a process that many senders share at a size: a part of it is the process', which each has less of the more they are.
-func shared(f Figure, n float64) float64 {
-	over := Figure{}
+// predictShared predicts a figure of a process shared by n senders. Part of the cost belongs to the process and is divided among the senders,
+// so the figure is fitted as a function of 1/n.
+func predictShared(f Figure, n float64) float64 {
+	byInverse := Figure{}
 	for _, p := range f.Points {
-		over.Points = append(over.Points, [2]float64{1 / p[0], p[1]})
+		byInverse.Points = append(byInverse.Points, [2]float64{1 / p[0], p[1]})
 	}
-	over.fit()
-	return over.at(1 / n)
+	byInverse.fitLine()
+	return byInverse.valueAt(1 / n)
 }
--- a/internal/fleettest/schedule_rig_test.go
+++ b/internal/fleettest/schedule_rig_test.go
@@ -12,30 +12,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a step does.
-type What string
+// StepKind is what a step does.
+type StepKind string
 
-// The acts of a schedule.
+// The kinds of steps. A and B are the senders that a Step names.
 const (
-	DoKill    What = "kill"    // A by SIGKILL
-	DoTerm    What = "term"    // A by SIGTERM, to its end
-	DoStop    What = "stop"    // A by SIGSTOP
-	DoCont    What = "cont"    // A goes on
-	DoStart   What = "start"   // A again, with its folder
-	DoKeep    What = "keep"    // a copy of A's folder
-	DoRestore What = "restore" // that copy in the folder's place, while A is down
-	DoWipe    What = "wipe"    // A's folder, while it is down
-	DoLink    What = "link"    // Faults on the link from A to B
-	DoHeal    What = "heal"    // all links
-	DoConduct What = "conduct" // Conduct of Dst
-	DoServing What = "serving" // Dst is listed as serving (On) or draining
-	DoHandIn  What = "hand-in" // Message by client Client
+	DoKill    StepKind = "kill"    // SIGKILL to A
+	DoTerm    StepKind = "term"    // SIGTERM to A, and wait for its end
+	DoStop    StepKind = "stop"    // SIGSTOP to A
+	DoCont    StepKind = "cont"    // SIGCONT to A
+	DoStart   StepKind = "start"   // start A again, with its folder
+	DoSave    StepKind = "keep"    // copy A's folder
+	DoRestore StepKind = "restore" // replace A's folder by that copy, while A is down
+	DoWipe    StepKind = "wipe"    // remove A's folder, while A is down
+	DoLink    StepKind = "link"    // set Faults on the link from A to B
+	DoHeal    StepKind = "heal"    // remove the faults of all links
+	DoConduct StepKind = "conduct" // set the Conduct of Dst
+	DoServing StepKind = "serving" // list Dst as serving (On) or draining
+	DoHandIn  StepKind = "hand-in" // hand Message in by client number Client
 )
 
-// Step is one act at a time since the schedule began.
+// Step is one step of a schedule. At is the time since the schedule started.
 type Step struct {
 	At      time.Duration
-	Do      What
+	Do      StepKind
 	A       string   `json:",omitempty"`
 	B       string   `json:",omitempty"`
 	Dst     int64    `json:",omitempty"`
@@ -46,7 +46,7 @@
 	Message *Message `json:",omitempty"`
 }
 
-// Schedule is data: kept as JSON it can be played again. Seed also sets the links' draws, by Setup.Seed.
+// Schedule is a list of steps that can be saved as JSON and played again. Seed also seeds the random faults of the links, by Setup.Seed.
 type Schedule struct {
 	Seed    uint64
 	Senders int
@@ -55,7 +55,7 @@
 	Steps   []Step
 }
 
-// ReadSchedule reads one that was kept.
+// ReadSchedule reads a schedule that Save wrote.
 func ReadSchedule(path string) (s Schedule, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return s, json.Unmarshal(text, &s)
 }
 
-// Keep writes it down.
-func (s Schedule) Keep(path string) error {
+// Save writes the schedule to a file.
+func (s Schedule) Save(path string) error {
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		return err
@@ -73,23 +73,23 @@
 	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
-// Setup is what a schedule is played on.
+// Setup returns the setup of a rig on which the schedule can be played.
 func (s Schedule) Setup() Setup {
 	return Setup{Senders: s.Senders, Destinations: s.Dsts, Seed: s.Seed}
 }
 
-// Play takes the steps, each no sooner than its time; a step that would wait for its message's answer does so. At the end all links
-// are mended, all receivers answer, all stopped processes go on and all that are down are started again, so that every message can end.
+// Play runs the steps in order, each no sooner than its time; a hand-in waits for its answer. At the end it removes the faults of all
+// links, lets all receivers answer, resumes all stopped processes and starts those that are down, so that every message can end.
 func (r *Rig) Play(s Schedule) {
 	r.t.Helper()
 	clients := make([]*Client, max(1, s.Clients))
 	for i := range clients {
 		clients[i] = r.Client(i % len(r.senders))
 	}
-	begun := time.Now()
+	started := time.Now()
 	for _, step := range s.Steps {
-		if d := time.Until(begun.Add(step.At)); d > 0 {
-			time.Sleep(d) // paces what is done; decides nothing
+		if d := time.Until(started.Add(step.At)); d > 0 {
+			time.Sleep(d) // paces the steps; no check depends on it
 		}
 		r.step(step, clients)
 	}
@@ -120,12 +120,12 @@
 	case DoHandIn:
 		clients[s.Client].HandIn(*s.Message)
 	default:
-		r.process(r.Sender(s.A), s.Do)
+		r.applyToSender(r.Sender(s.A), s.Do)
 	}
 }
 
-// process acts on one sender, where that can be: drawn schedules may say it to one that is down.
-func (r *Rig) process(one *Sender, do What) {
+// applyToSender runs a step on one sender if its state allows that: a random schedule may name one that is down.
+func (r *Rig) applyToSender(one *Sender, do StepKind) {
 	r.t.Helper()
 	up := one.Running()
 	switch {
@@ -140,36 +140,37 @@
 		one.Cont()
 	case !up && do == DoStart:
 		one.Start()
-	case do == DoKeep:
-		one.Keep("schedule")
+	case do == DoSave:
+		one.SaveFolder("schedule")
 	case !up && do == DoRestore:
-		one.Restore("schedule")
+		one.RestoreFolder("schedule")
 	case !up && do == DoWipe:
-		one.Wipe()
+		one.WipeFolder()
 	case do == DoKill, do == DoTerm, do == DoStop, do == DoCont, do == DoStart, do == DoRestore, do == DoWipe:
 	default:
-		require.FailNow(r.t, "no such step", do)
+		require.FailNow(r.t, "unknown kind of step", do)
 	}
 }
 
-// Draw makes a schedule of hand-ins every gap at all destinations, with so many troubles among them; the same seed gives the same one.
-// One sender is up at any time. Folders stay: what restoring or wiping one loses is no fault of the sender.
-func Draw(seed uint64, senders int, dsts []int64, messages, troubles int, gap time.Duration) Schedule {
+// RandomSchedule returns a schedule with a hand-in every gap to one of the destinations, and so many faults in between. It depends on
+// the seed only. At least one sender is up at any time. State folders are not touched, because what is lost by restoring or removing one
+// is no fault of the sender.
+func RandomSchedule(seed uint64, senders int, dsts []int64, messages, faults int, gap time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5c4ed))
 	s := Schedule{Seed: seed, Senders: senders, Clients: senders, Dsts: dsts}
-	lanes := []string{"notice", "once", "again", "lined"}
+	classes := []string{"notice", "once", "again", "lined"}
 	for i := range messages {
-		m := Message{ID: fmt.Sprintf("m%d", i), Lane: lanes[rng.IntN(len(lanes))], Dst: dsts[rng.IntN(len(dsts))], Within: 4 * time.Second}
-		if m.Lane == "lined" {
+		m := Message{ID: fmt.Sprintf("m%d", i), Class: classes[rng.IntN(len(classes))], Dst: dsts[rng.IntN(len(dsts))], Timeout: 4 * time.Second}
+		if m.Class == "lined" {
 			m.OrderKey = fmt.Sprintf("1%03d", rng.IntN(3))
 		}
 		s.Steps = append(s.Steps, Step{At: time.Duration(i) * gap, Do: DoHandIn, Client: rng.IntN(senders), Message: &m})
 	}
-	d := drawn{rng: rng, senders: senders, dsts: dsts, away: map[string]What{}}
-	every := max(1, messages/max(1, troubles))
-	for i := range troubles {
+	d := scheduleGenerator{rng: rng, senders: senders, dsts: dsts, down: map[string]StepKind{}}
+	every := max(1, messages/max(1, faults))
+	for i := range faults {
 		at := i * every
-		s.Steps = append(s.Steps, d.trouble(s.Steps[min(at, messages-1)].At))
+		s.Steps = append(s.Steps, d.fault(s.Steps[min(at, messages-1)].At))
 	}
 	s.sort()
 	return s
@@ -179,41 +180,41 @@
 	slices.SortStableFunc(s.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 }
 
-// drawn keeps who is away while a schedule is drawn.
-type drawn struct {
+// scheduleGenerator tracks which senders are down or stopped while a random schedule is generated.
+type scheduleGenerator struct {
 	rng     *rand.Rand
 	senders int
 	dsts    []int64
-	away    map[string]What
+	down    map[string]StepKind
 }
 
-func (d *drawn) trouble(at time.Duration) Step {
+func (d *scheduleGenerator) fault(at time.Duration) Step {
 	rng, name := d.rng, func() string { return string(rune('a' + d.rng.IntN(d.senders))) }
 	s := Step{At: at, A: name(), Dst: d.dsts[rng.IntN(len(d.dsts))]}
-	acts := []What{DoKill, DoStop, DoTerm, DoLink, DoLink, DoLink, DoHeal, DoConduct, DoConduct}
-	s.Do = acts[rng.IntN(len(acts))]
-	switch was := d.away[s.A]; {
-	case was == DoStop:
+	kinds := []StepKind{DoKill, DoStop, DoTerm, DoLink, DoLink, DoLink, DoHeal, DoConduct, DoConduct}
+	s.Do = kinds[rng.IntN(len(kinds))]
+	switch state := d.down[s.A]; {
+	case state == DoStop:
 		s.Do = DoCont
-		delete(d.away, s.A)
-	case was != "":
+		delete(d.down, s.A)
+	case state != "":
 		s.Do = DoStart
-		delete(d.away, s.A)
+		delete(d.down, s.A)
 	case s.Do == DoKill || s.Do == DoStop || s.Do == DoTerm:
-		if len(d.away) == d.senders-1 {
+		if len(d.down) == d.senders-1 {
 			s.Do = DoHeal
 			break
 		}
-		d.away[s.A] = s.Do
+		d.down[s.A] = s.Do
 	case s.Do == DoLink:
 		for s.B = name(); s.B == s.A; {
 			s.B = name()
 		}
-		all := []Faults{{Cut: true}, {Mute: true}, {HalfOpen: true}, {Delay: 300 * time.Millisecond}, {Loss: 0.3}, {Doubles: 0.5},
-			{Disorder: 0.5, ReplayWait: 100 * time.Millisecond}, {BytesEach: 64, Each: 10 * time.Millisecond}}
+		all := []Faults{{Cut: true}, {DropAnswers: true}, {HalfOpen: true}, {Delay: 300 * time.Millisecond}, {Loss: 0.3}, {Duplication: 0.5},
+			{Reordering: 0.5, ReplayDelay: 100 * time.Millisecond}, {ThrottleBytes: 64, ThrottleInterval: 10 * time.Millisecond}}
 		s.Faults = &all[rng.IntN(len(all))]
 	case s.Do == DoConduct:
-		all := []Conduct{{}, {Status: 500}, {Down: true}, {Slow: 200 * time.Millisecond}, {Limit: 3, Wait: time.Second}}
+		all := []Conduct{{}, {Status: 500}, {Down: true}, {AnswerDelay: 200 * time.Millisecond}, {Limit: 3, RetryAfter: time.Second}}
 		s.Conduct = &all[rng.IntN(len(all))]
 	}
 	return s
--- a/internal/fleettest/soak_client_test.go
+++ b/internal/fleettest/soak_client_test.go
@@ -4,6 +4,8 @@
 	"bufio"
 	"io"
 	"net"
+	"os/exec"
+	"syscall"
 	"testing"
 	"time"
 
@@ -11,25 +13,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a request that is written on a resting connection whose end has come, and counts as read where the client sees that end late.
-func TestAClientOfAPlayWritesNothingAfterTheEnd(t *testing.T) {
+// Guards against a soak client that writes a request to an idle connection which the sender has closed, and then counts it as read and lost
+// because it saw the close too late.
+func TestSoakClientWritesNothingAfterTheSenderClosed(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", ownHost()+":0")
 	require.NoError(t, err)
 	defer l.Close()
 	c, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	far, err := l.Accept()
+	senderSide, err := l.Accept()
 	require.NoError(t, err)
-	defer far.Close()
-	resting := &soakConn{Conn: c, r: bufio.NewReader(c)}
-	assert.False(t, hasEnded(c))
-	require.NoError(t, far.(*net.TCPConn).CloseWrite())
-	require.Eventually(t, func() bool { return hasEnded(c) }, long, time.Millisecond)
-	answer, lost := (&returnSender{idle: []*soakConn{resting}}).say("PING\r\n")
+	defer senderSide.Close()
+	idle := &clientConn{Conn: c, r: bufio.NewReader(c)}
+	assert.False(t, peerHasClosed(c))
+	require.NoError(t, senderSide.(*net.TCPConn).CloseWrite())
+	require.Eventually(t, func() bool { return peerHasClosed(c) }, waitLimit, time.Millisecond)
+	answer, lost := (&returnSender{idleConns: []*clientConn{idle}}).request("PING\r\n")
 	assert.Empty(t, answer)
 	assert.False(t, lost)
-	came, err := io.ReadAll(far)
+	received, err := io.ReadAll(senderSide)
 	require.NoError(t, err)
-	assert.Empty(t, came)
+	assert.Empty(t, received)
+}
+
+// A late SIGTERM would end a process that nothing starts again, so that what it has accepted has no end.
+func TestSignalForAnEarlierProcessIsDropped(t *testing.T) {
+	earlier, current := exec.Command("true"), exec.Command("true")
+	s := &returnSender{cmd: current}
+	require.False(t, s.signal(earlier, syscall.SIGTERM))
+	require.Zero(t, s.termAt)
+	s.cmd = nil
+	require.False(t, s.signal(s.process(), syscall.SIGTERM), "it was killed")
+}
+
+// On a busy machine drawing the schedule takes long. Events that ran meanwhile would draw from the same generator.
+func TestEventsWaitForTheStartOfTheSchedule(t *testing.T) {
+	p := &returnRig{done: make(chan struct{})}
+	ran := make(chan struct{})
+	p.at(0, func() { close(ran) })
+	require.Len(t, p.scheduled, 1, "no goroutine waits for it yet")
+	p.startSchedule()
+	<-ran
+	p.running.Wait()
+	require.Empty(t, p.scheduled)
 }
--- a/internal/fleettest/soak_rig_test.go
+++ b/internal/fleettest/soak_rig_test.go
@@ -7,90 +7,100 @@
 	"io"
 	"math/rand/v2"
 	"net"
+	"os/exec"
 	"syscall"
 	"time"
 )
 
 const (
-	soakKill    = 3700 * time.Millisecond // after SIGTERM, the earliest that the operators' page allows
-	soakDoors   = 300 * time.Millisecond  // after SIGTERM in which clients still open connections
-	soakWithin  = 6 * time.Second         // the time of a message
-	soakSettle  = 9 * time.Second         // after the last hand-in: the time of a message, and what a restart may take
-	soakOnce    = 0.2                     // share of the messages that must not run twice
-	soakAnswers = 20 * time.Millisecond   // a request written longer ago was at the sender; closed unread it would be reset
-	soakKilled  = 300 * time.Millisecond  // in which the connections of a killed process end
+	soakKillDelay   = 3700 * time.Millisecond // from SIGTERM to SIGKILL, the shortest that the operators' page allows
+	soakConnectTime = 300 * time.Millisecond  // after SIGTERM, in which clients still open connections
+	soakDeadline    = 6 * time.Second         // of a message
+	soakSettle      = 9 * time.Second         // after the last hand-in: the deadline of a message plus the time of a restart
+	soakOnceShare   = 0.2                     // share of the messages that must not run twice
+	soakReadTime    = 20 * time.Millisecond   // a request written longer ago has been read by the sender: closing with unread data would reset the connection
+	soakCloseTime   = 300 * time.Millisecond  // in which the connections of a killed process close
 )
 
-// handed is a message as clients and receivers know it.
-type handed struct {
-	lane  string
-	taken bool
-	ended bool // delivered, or told in a notice
-	ran   int  // calls that may have run
+// messageRecord is what clients and receivers know about a message.
+type messageRecord struct {
+	class    string
+	accepted bool
+	ended    bool // delivered, or reported in a notice
+	runs     int  // calls that may have run
 }
 
-// DrawSoak draws a play in which processes get signals in series while destinations fail and return.
-func DrawSoak(seed uint64) ReturnPlay {
+// RandomSoak returns a random scenario in which processes get series of signals while destinations fail and return.
+func RandomSoak(seed uint64) ReturnScenario {
 	r := rand.New(rand.NewPCG(seed, 45))
-	play := thinFleet(seed)
-	play.Senders = []int{12, 20, 34}[r.IntN(3)]
-	play.How = []Outage{Refuses, Hangs, Errors}[r.IntN(3)]
-	play.Endpoints = 1 + r.IntN(2)
-	play.Joins, play.Notes = r.IntN(2) == 0, r.IntN(2) == 0
-	play.Weights = []string{"off", "nominal"}[r.IntN(2)]
-	play.Load = 0.6 + 0.4*r.Float64()
-	play.Killed, play.LateKills = 0.3*r.Float64(), 0.3*r.Float64()
-	play.Signals = 0.3
+	scenario := lowTrafficScenario(seed)
+	scenario.Senders = []int{12, 20, 34}[r.IntN(3)]
+	scenario.Outage = []OutageKind{RefusesConnections, HangsCalls, AnswersErrors}[r.IntN(3)]
+	scenario.Endpoints = 1 + r.IntN(2)
+	scenario.AddEndpoints, scenario.Notes = r.IntN(2) == 0, r.IntN(2) == 0
+	scenario.Weights = []string{"off", "nominal"}[r.IntN(2)]
+	scenario.LoadFactor = 0.6 + 0.4*r.Float64()
+	scenario.KilledShare, scenario.LateKilledShare = 0.3*r.Float64(), 0.3*r.Float64()
+	scenario.SignaledShare = 0.3
 	if r.IntN(3) == 0 {
-		play.Crowd = 100
+		scenario.IdleClients = 100
 	}
-	play.Until = play.From + time.Duration(3+r.IntN(6))*time.Second
-	play.Within, play.Settle = soakWithin, soakSettle
-	return play
+	scenario.OutageEnd = scenario.OutageStart + time.Duration(3+r.IntN(6))*time.Second
+	scenario.Deadline, scenario.SettleTime = soakDeadline, soakSettle
+	return scenario
 }
 
-// signals sends some senders signals in series: changes of the configuration, an order to end, more of either, and the kill at its earliest.
-func (p *returnRig) signals() {
-	n := int(p.Signals * float64(p.Senders))
+// scheduleSignals schedules a series of signals for some senders: SIGHUPs to reload the configuration, a SIGTERM, more of either, and
+// a SIGKILL after soakKillDelay. On a busy machine a signal may be late: one that comes after the SIGKILL is dropped, as a SIGTERM would end
+// the next process of the sender, which nothing starts again.
+func (p *returnRig) scheduleSignals() {
+	n := int(p.SignaledShare * float64(p.Senders))
 	for _, s := range p.senders[p.Senders-n:] {
-		at := time.Duration(p.draw.Float64() * float64(p.Until))
-		for range p.draw.IntN(3) {
-			p.at(at, func() { s.signal(syscall.SIGHUP) })
-			at += time.Duration(p.draw.Float64() * float64(soakDoors))
+		process := s.process()
+		at := time.Duration(p.rng.Float64() * float64(p.OutageEnd))
+		for range p.rng.IntN(3) {
+			p.at(at, func() { s.signal(process, syscall.SIGHUP) })
+			at += time.Duration(p.rng.Float64() * float64(soakConnectTime))
 		}
-		p.at(at, s.askToEnd)
-		for range p.draw.IntN(3) {
-			again := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[p.draw.IntN(2)]
-			p.at(at+time.Duration(p.draw.Float64()*float64(soakKill)), func() { s.signal(again) })
+		p.at(at, func() { s.signal(process, syscall.SIGTERM) })
+		for range p.rng.IntN(3) {
+			again := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[p.rng.IntN(2)]
+			p.at(at+time.Duration(p.rng.Float64()*float64(soakKillDelay)), func() { s.signal(process, again) })
 		}
-		p.restart(s, at+soakKill)
+		p.restart(s, at+soakKillDelay)
 	}
 }
 
-func (s *returnSender) signal(sig syscall.Signal) {
+// process returns the running process of the sender, or nil.
+func (s *returnSender) process() *exec.Cmd {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cmd != nil {
-		_ = s.cmd.Process.Signal(sig)
-	}
+	return s.cmd
 }
 
-func (s *returnSender) askToEnd() {
-	s.signal(syscall.SIGTERM)
+// signal sends a signal to a process of the sender unless that was killed, and reports whether it did.
+func (s *returnSender) signal(process *exec.Cmd, sig syscall.Signal) (sent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves = time.Now()
+	if process == nil || s.cmd != process {
+		return false
+	}
+	_ = process.Process.Signal(sig)
+	if sig == syscall.SIGTERM && s.termAt.IsZero() {
+		s.termAt = time.Now()
+	}
+	return true
 }
 
-// crowd has clients that connect to one sender, say nothing and stay.
-func (p *returnRig) crowd() {
-	if p.Crowd == 0 {
+// openIdleClients opens connections to the first sender that stay open and silent.
+func (p *returnRig) openIdleClients() {
+	if p.IdleClients == 0 {
 		return
 	}
-	at := p.senders[0].listen.Addr.String()
-	for range p.Crowd {
-		p.at(time.Duration(p.draw.Float64()*float64(p.From)), func() {
-			if c, err := net.DialTimeout("tcp", at, clientPatience); err == nil {
+	at := p.senders[0].reservation.Addr.String()
+	for range p.IdleClients {
+		p.at(time.Duration(p.rng.Float64()*float64(p.OutageStart)), func() {
+			if c, err := net.DialTimeout("tcp", at, clientTimeout); err == nil {
 				<-p.done
 				_ = c.Close()
 			}
@@ -98,45 +108,46 @@
 	}
 }
 
-// soakConn is one connection of a client.
-type soakConn struct {
+// clientConn is a connection of a client.
+type clientConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// connection gives one that rests, or a new one while the sender's doors are open; nil where there is none.
-func (s *returnSender) connection() *soakConn {
+// takeConn returns an idle connection or, while clients still connect to the sender, a new one. It returns nil if there is neither.
+func (s *returnSender) takeConn() *clientConn {
 	s.mu.Lock()
-	if n := len(s.idle); n > 0 {
-		c := s.idle[n-1]
-		s.idle = s.idle[:n-1]
+	if n := len(s.idleConns); n > 0 {
+		c := s.idleConns[n-1]
+		s.idleConns = s.idleConns[:n-1]
 		s.mu.Unlock()
 		return c
 	}
-	shut := s.cmd == nil || !s.leaves.IsZero() && time.Since(s.leaves) > soakDoors
+	closed := s.cmd == nil || !s.termAt.IsZero() && time.Since(s.termAt) > soakConnectTime
 	s.mu.Unlock()
-	if shut {
+	if closed {
 		return nil
 	}
-	c, err := net.DialTimeout("tcp", s.listen.Addr.String(), clientPatience)
+	c, err := net.DialTimeout("tcp", s.reservation.Addr.String(), clientTimeout)
 	if err != nil {
 		return nil
 	}
-	return &soakConn{Conn: c, r: bufio.NewReader(c)}
+	return &clientConn{Conn: c, r: bufio.NewReader(c)}
 }
 
-// say writes a request and reads its answer. It is empty where the connection ended without one; lost tells that the sender had surely read
-// the request then, and was not killed. What would be written after the end has come cannot be read, however late this client sees that.
-func (s *returnSender) say(text string) (answer string, lost bool) {
-	c := s.connection()
+// request writes a request and reads its answer, which is empty if the connection was closed without one. In that case lost reports
+// whether the sender must have read the request and was not killed. Nothing is written to a connection that the sender has closed: the
+// request could not be read, but would count as lost if this client saw the close too late.
+func (s *returnSender) request(text string) (answer string, lost bool) {
+	c := s.takeConn()
 	if c == nil {
 		return "", false
 	}
-	if hasEnded(c.Conn) {
+	if peerHasClosed(c.Conn) {
 		_ = c.Close()
 		return "", false
 	}
-	_ = c.SetDeadline(time.Now().Add(clientPatience))
+	_ = c.SetDeadline(time.Now().Add(clientTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		_ = c.Close()
 		return "", false
@@ -145,37 +156,37 @@
 	line, err := c.r.ReadString('\n')
 	if err != nil {
 		_ = c.Close()
-		return "", errors.Is(err, io.EOF) && time.Since(written) > soakAnswers && !s.killedLately()
+		return "", errors.Is(err, io.EOF) && time.Since(written) > soakReadTime && !s.killedRecently()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cmd == nil {
 		_ = c.Close()
 	} else {
-		s.idle = append(s.idle, c)
+		s.idleConns = append(s.idleConns, c)
 	}
 	return line[:len(line)-2], false
 }
 
-func (s *returnSender) killedLately() bool {
+func (s *returnSender) killedRecently() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.killed) < soakKilled
+	return time.Since(s.killedAt) < soakCloseTime
 }
 
-// broken lists what the six rules find: messages taken on that have no end, requests that were read and not answered, and messages that must
-// not run twice and may have.
-func (p *returnRig) broken() (faults []string) {
+// violations lists accepted messages without an end, requests that were read but not answered, and non-retriable messages that may have
+// run twice.
+func (p *returnRig) violations() (found []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	faults = append(faults, p.unanswered...)
+	found = append(found, p.unanswered...)
 	for id, m := range p.messages {
-		if m.taken && !m.ended {
-			faults = append(faults, fmt.Sprintf("%s was taken on and has no end", id))
+		if m.accepted && !m.ended {
+			found = append(found, fmt.Sprintf("%s was accepted and has no end", id))
 		}
-		if m.lane == "once" && m.ran > 1 {
-			faults = append(faults, fmt.Sprintf("%s may have run %d times", id, m.ran))
+		if m.class == "once" && m.runs > 1 {
+			found = append(found, fmt.Sprintf("%s may have run %d times", id, m.runs))
 		}
 	}
-	return faults
+	return found
 }
--- a/internal/fleettest/transcript_limits_test.go
+++ b/internal/fleettest/transcript_limits_test.go
@@ -10,191 +10,191 @@
 	"ravenlink/internal/verdicts"
 )
 
-// limitPart is one sender's part in the limit of destination 7.
-type limitPart struct {
-	s       *limitStage
+// limitNode is the share table of one sender, for the limit of destination 7.
+type limitNode struct {
+	s       *limitSimulation
 	name    string
 	table   *shares.Table
-	need    float64
+	demand  float64
 	stopped bool
-	calls   int // since they were last written
-	share   string
+	calls   int // since the last line about calls
+	rate    string
 }
 
-type limitStage struct {
-	*stage[shares.Msg]
-	all   map[string]*limitPart
+type limitSimulation struct {
+	*simulation[shares.Msg]
+	all   map[string]*limitNode
 	limit float64
 }
 
-func newLimitStage(t *testing.T) *limitStage {
-	s := &limitStage{newStage[shares.Msg](t, "ask", "grant", "redirect", "stand", "promise"), map[string]*limitPart{}, 12}
-	s.quiet = func(m shares.Msg) bool { return m.Kind == shares.Ask || m.Kind == shares.Grant } // whose effect is in the shares
-	s.phase("three senders; destination 7 takes 12 calls a second, a and b want 20 each")
+func newLimitSimulation(t *testing.T) *limitSimulation {
+	s := &limitSimulation{newSimulation[shares.Msg](t, "request", "grant", "redirect", "vote request", "vote grant"), map[string]*limitNode{}, 12}
+	s.omitted = func(m shares.Msg) bool { return m.Kind == shares.Request || m.Kind == shares.Grant } // their effect shows in the rates
+	s.phase("three senders; destination 7 takes 12 calls per second, a and b have a demand of 20 each")
 	for _, name := range s.names {
-		l := &limitPart{s: s, name: name, need: 20}
-		s.all[name], s.parts[name] = l, l
+		l := &limitNode{s: s, name: name, demand: 20}
+		s.all[name], s.nodes[name] = l, l
 		s.start(name)
 	}
-	s.all["c"].need = 0
-	s.seconds(8)
+	s.all["c"].demand = 0
+	s.runSeconds(8)
 	return s
 }
 
-func (s *limitStage) start(name string) {
+func (s *limitSimulation) start(name string) {
 	s.down[name] = false
 	l := s.all[name]
-	l.table = shares.New(name, s.names, shares.Usual())
+	l.table = shares.New(name, s.names, shares.DefaultTiming())
 	v := members.View{Self: name, Epoch: 1}
 	for _, n := range s.names {
 		v.Members = append(v.Members, members.Member{Name: n, Incarnation: 1, Folder: 1})
 	}
-	l.table.View(s.now, v)
+	l.table.SetView(s.now, v)
 }
 
-func (l *limitPart) tick(now int64) []post.Letter[shares.Msg] {
+func (l *limitNode) tick(now int64) []post.PeerMessage[shares.Msg] {
 	if l.stopped {
 		return nil
 	}
-	l.table.Limit(now, "7", l.s.limit, shares.Told)
-	l.table.Need(now, "7", l.need, int(l.need/4))
-	letters := l.table.Tick(now)
-	for l.need > 0 && l.table.Spend(now, "7") {
+	l.table.SetLimit(now, "7", l.s.limit, shares.Reported)
+	l.table.SetDemand(now, "7", l.demand, int(l.demand/4))
+	messages := l.table.Tick(now)
+	for l.demand > 0 && l.table.Allow(now, "7") {
 		l.calls++
 	}
 	perSec, _ := l.table.Share(now, "7")
-	l.tell(fmt.Sprintf("%.1f", perSec))
-	return letters
+	l.logRate(fmt.Sprintf("%.1f", perSec))
+	return messages
 }
 
-func (l *limitPart) tell(share string) {
-	if share != l.share {
-		l.share = share
-		l.s.say("%s has a standing rate of %s a second", l.name, share)
+func (l *limitNode) logRate(rate string) {
+	if rate != l.rate {
+		l.rate = rate
+		l.s.logf("%s has a standing rate of %s per second", l.name, rate)
 	}
 }
 
-func (l *limitPart) hear(now int64, from string, m shares.Msg) []post.Letter[shares.Msg] {
+func (l *limitNode) receive(now int64, from string, m shares.Msg) []post.PeerMessage[shares.Msg] {
 	if l.stopped {
 		return nil
 	}
-	return l.table.Heard(now, from, m)
+	return l.table.Receive(now, from, m)
 }
 
-// seconds lets seconds pass, and writes how often each has called in each.
-func (s *limitStage) seconds(n int) {
+// runSeconds advances the time by n seconds and writes the calls of each sender in each second.
+func (s *limitSimulation) runSeconds(n int) {
 	for range n {
-		s.pass(sec)
+		s.advance(second)
 		text, sum := "", 0
 		for _, name := range s.names {
 			l := s.all[name]
 			text, sum = text+fmt.Sprintf(" %s %d,", name, l.calls), sum+l.calls
 			l.calls = 0
 		}
-		s.say("calls in this second:%s in all %d", text, sum)
+		s.logf("calls in this second:%s total %d", text, sum)
 	}
 }
 
-// owner is who grants: the one whose promise was asked for last.
-func (s *limitStage) owner() string { return shares.Electors(s.names, "7")[0] }
+// owner returns the sender that grants shares: the first of the voters.
+func (s *limitSimulation) owner() string { return shares.Voters(s.names, "7")[0] }
 
 func TestTranscriptsOfLimits(t *testing.T) {
 	t.Parallel()
-	for name, story := range map[string]func(s *limitStage){
-		"lease-lost": func(s *limitStage) {
-			one := s.other()
-			s.phase("%s, in mid-burst, is cut off from the owner %s: its lease runs out, then it has its own small share", one, s.owner())
-			s.cut(one, s.rest(one), true)
-			s.seconds(8)
-			s.phase("the cut heals")
-			s.cut(one, s.rest(one), false)
-			s.seconds(4)
+	for name, run := range map[string]func(s *limitSimulation){
+		"lease-lost": func(s *limitSimulation) {
+			one := s.nonOwner()
+			s.phase("%s is cut off from the owner %s in a burst: its lease ends, and it falls back to a small share", one, s.owner())
+			s.setCut(one, s.others(one), true)
+			s.runSeconds(8)
+			s.phase("the partition heals")
+			s.setCut(one, s.others(one), false)
+			s.runSeconds(4)
 		},
-		"owner-killed": func(s *limitStage) {
-			s.phase("the owner %s is killed: another waits out what it has granted", s.owner())
+		"owner-killed": func(s *limitSimulation) {
+			s.phase("the owner %s is killed: another one waits until its grants have ended", s.owner())
 			s.down[s.owner()] = true
-			s.seconds(9)
-			s.phase("it is back")
+			s.runSeconds(9)
+			s.phase("the owner is back")
 			s.start(s.owner())
-			s.seconds(6)
+			s.runSeconds(6)
 		},
-		"paused": func(s *limitStage) {
-			one := s.other()
+		"paused": func(s *limitSimulation) {
+			one := s.nonOwner()
 			s.phase("%s is stopped for five seconds, longer than its lease", one)
 			s.all[one].stopped = true
-			s.seconds(5)
+			s.runSeconds(5)
 			spent := 0
-			for s.all[one].table.Spend(s.now, "7") {
+			for s.all[one].table.Allow(s.now, "7") {
 				spent++
 			}
-			s.phase("it wakes: what it may still spend of the share that it had is %d calls", spent)
+			s.phase("it resumes with %d calls left of its share", spent)
 			s.all[one].stopped = false
-			s.seconds(5)
+			s.runSeconds(5)
 		},
-		"lowered": func(s *limitStage) {
-			s.phase("the destination tells all that its limit is 4")
+		"lowered": func(s *limitSimulation) {
+			s.phase("the destination reports a limit of 4 to all")
 			s.limit = 4
-			s.seconds(6)
-			s.phase("and that it is 30")
+			s.runSeconds(6)
+			s.phase("the destination reports a limit of 30 to all")
 			s.limit = 30
-			s.seconds(6)
+			s.runSeconds(6)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newLimitStage(t)
-			story(s)
+			s := newLimitSimulation(t)
+			run(s)
 			s.compare("limit-" + name)
 		})
 	}
 }
 
-// other is a sender that calls and is not the owner.
-func (s *limitStage) other() string {
+// nonOwner returns a sender that makes calls and is not the owner.
+func (s *limitSimulation) nonOwner() string {
 	if s.owner() == "a" {
 		return "b"
 	}
 	return "a"
 }
 
-func (s *limitStage) rest(one string) (rest string) {
+func (s *limitSimulation) others(one string) (others string) {
 	for _, n := range s.names {
 		if n != one {
-			rest += n
+			others += n
 		}
 	}
-	return rest
+	return others
 }
 
-// verdictPart is one sender's part in verdicts.
-type verdictPart struct {
-	s     *verdictStage
+// verdictNode is the verdict table of one sender.
+type verdictNode struct {
+	s     *verdictSimulation
 	name  string
 	table *verdicts.Table
 }
 
-type verdictStage struct {
-	*stage[verdicts.Msg]
-	all map[string]*verdictPart
+type verdictSimulation struct {
+	*simulation[verdicts.Msg]
+	all map[string]*verdictNode
 }
 
-func newVerdictStage(t *testing.T) *verdictStage {
-	s := &verdictStage{newStage[verdicts.Msg](t), map[string]*verdictPart{}}
-	s.quiet = func(m verdicts.Msg) bool { return len(m.Facts) == 0 && len(m.Digest) < 2 }
+func newVerdictSimulation(t *testing.T) *verdictSimulation {
+	s := &verdictSimulation{newSimulation[verdicts.Msg](t), map[string]*verdictNode{}}
+	s.omitted = func(m verdicts.Msg) bool { return len(m.Facts) == 0 && len(m.Digest) < 2 }
 	s.phase("three senders")
 	for _, name := range s.names {
-		w := &verdictPart{s: s, name: name}
-		s.all[name], s.parts[name] = w, w
+		w := &verdictNode{s: s, name: name}
+		s.all[name], s.nodes[name] = w, w
 		s.start(name, 1)
 	}
-	s.pass(5 * sec)
+	s.advance(5 * second)
 	return s
 }
 
-func (s *verdictStage) start(name string, incarnation uint64) {
+func (s *verdictSimulation) start(name string, incarnation uint64) {
 	s.down[name] = false
-	s.say("%s starts, incarnation %d", name, incarnation)
+	s.logf("%s starts, incarnation %d", name, incarnation)
 	w := s.all[name]
-	timing, room := verdicts.Usual()
+	timing, room := verdicts.Defaults()
 	w.table = verdicts.New(name, incarnation, timing, room)
 	v := members.View{Self: name, Epoch: 1}
 	for i, n := range s.names {
@@ -204,17 +204,17 @@
 		}
 		v.Members = append(v.Members, m)
 	}
-	w.table.View(s.now, v)
+	w.table.SetView(s.now, v)
 }
 
-func (w *verdictPart) tick(now int64) []post.Letter[verdicts.Msg] { return w.table.Tick(now) }
+func (w *verdictNode) tick(now int64) []post.PeerMessage[verdicts.Msg] { return w.table.Tick(now) }
 
-func (w *verdictPart) hear(now int64, from string, m verdicts.Msg) []post.Letter[verdicts.Msg] {
-	news, letters := w.table.Heard(now, from, m)
+func (w *verdictNode) receive(now int64, from string, m verdicts.Msg) []post.PeerMessage[verdicts.Msg] {
+	news, messages := w.table.Receive(now, from, m)
 	for _, f := range news {
-		w.s.say("%s learns from %s: %s", w.name, from, factText(f))
+		w.s.logf("%s learns from %s: %s", w.name, from, factText(f))
 	}
-	return letters
+	return messages
 }
 
 func factText(f verdicts.Fact) string {
@@ -222,38 +222,38 @@
 	switch {
 	case f.Withdrawn:
 		return text + ", withdrawn"
-	case f.Kind == verdicts.Wait:
-		return text + fmt.Sprintf(", %.1f s left", float64(f.Left())/sec)
+	case f.Kind == verdicts.RetryAfter:
+		return text + fmt.Sprintf(", %.1f s left", float64(f.Remaining())/second)
 	case f.Kind == verdicts.Limit:
-		return text + fmt.Sprintf(", %g a second", f.Level)
+		return text + fmt.Sprintf(", %g a second", f.Value)
 	}
 	return text
 }
 
-func (s *verdictStage) own(name string, f verdicts.Fact) {
-	s.say("%s sees: %d is %v", name, f.Dst, f.Kind)
-	s.send(name, s.all[name].table.Own(s.now, f))
-	s.settle()
+func (s *verdictSimulation) observe(name string, f verdicts.Fact) {
+	s.logf("%s sees: %d is %v", name, f.Dst, f.Kind)
+	s.send(name, s.all[name].table.Observe(s.now, f))
+	s.deliver()
 }
 
-func (s *verdictStage) withdraw(name string, dst int64, k verdicts.Kind) {
-	s.say("%s withdraws that %d is %v", name, dst, k)
+func (s *verdictSimulation) withdraw(name string, dst int64, k verdicts.Kind) {
+	s.logf("%s withdraws: %d is %v", name, dst, k)
 	s.send(name, s.all[name].table.Withdraw(s.now, verdicts.Subject{Dst: dst}, k))
-	s.settle()
+	s.deliver()
 }
 
-// known writes what counts for each sender now.
-func (s *verdictStage) known(dst int64) {
+// logFacts writes the facts that each sender acts on now.
+func (s *verdictSimulation) logFacts(dst int64) {
 	for _, name := range s.names {
 		if s.down[name] {
 			continue
 		}
-		facts := s.all[name].table.Of(s.now, verdicts.Subject{Dst: dst})
+		facts := s.all[name].table.Facts(s.now, verdicts.Subject{Dst: dst})
 		if len(facts) == 0 {
-			s.say("%s goes by nothing", name)
+			s.logf("%s acts on no facts", name)
 		}
 		for _, f := range facts {
-			s.say("%s goes by: %s", name, factText(f))
+			s.logf("%s acts on: %s", name, factText(f))
 		}
 	}
 }
@@ -261,160 +261,160 @@
 func TestTranscriptsOfVerdicts(t *testing.T) {
 	t.Parallel()
 	seven := func(k verdicts.Kind) verdicts.Fact { return verdicts.Fact{Subject: verdicts.Subject{Dst: 7}, Kind: k} }
-	for name, story := range map[string]func(s *verdictStage){
-		"wait-heeded": func(s *verdictStage) {
-			s.phase("7 tells a to come back in 3 s: the others heed it until it is over")
-			f := seven(verdicts.Wait)
-			f.For = 3 * sec
-			s.own("a", f)
-			s.pass(sec)
-			s.known(7)
-			s.pass(21 * sec / 10)
-			s.known(7)
+	for name, run := range map[string]func(s *verdictSimulation){
+		"wait-heeded": func(s *verdictSimulation) {
+			s.phase("7 sends a retry-after of 3 s to a: the others heed it until it ends")
+			f := seven(verdicts.RetryAfter)
+			f.Duration = 3 * second
+			s.observe("a", f)
+			s.advance(second)
+			s.logFacts(7)
+			s.advance(21 * second / 10)
+			s.logFacts(7)
 		},
-		"withdrawn": func(s *verdictStage) {
-			s.phase("a sees 7 down; the letter to c is late")
-			s.cut("a", "c", true)
-			s.cut("b", "c", true)
-			s.own("a", seven(verdicts.Down))
-			s.pass(sec / 2)
-			s.phase("a withdraws it; then the cut heals, and the late letter comes")
+		"withdrawn": func(s *verdictSimulation) {
+			s.phase("a sees 7 down; the message to c is delayed")
+			s.setCut("a", "c", true)
+			s.setCut("b", "c", true)
+			s.observe("a", seven(verdicts.Down))
+			s.advance(second / 2)
+			s.phase("a withdraws it; then the partition heals, and the delayed message arrives")
 			s.withdraw("a", 7, verdicts.Down)
-			s.cut("ab", "c", false)
-			s.pass(3 * sec)
-			s.known(7)
+			s.setCut("ab", "c", false)
+			s.advance(3 * second)
+			s.logFacts(7)
 			for _, l := range s.lost[:2] {
-				s.say("the late letter of %s comes to %s", l.from, l.to)
-				s.send(l.to, s.parts[l.to].hear(s.now, l.from, l.m))
+				s.logf("the delayed message of %s arrives at %s", l.from, l.to)
+				s.send(l.to, s.nodes[l.to].receive(s.now, l.from, l.m))
 			}
-			s.pass(sec)
-			s.known(7)
+			s.advance(second)
+			s.logFacts(7)
 		},
-		"cut-and-joined": func(s *verdictStage) {
-			s.phase("c is down while a sees a limit of 7 and b that 8 is down")
+		"cut-and-joined": func(s *verdictSimulation) {
+			s.phase("c is down while a observes a limit of 7 and b that 8 is down")
 			s.down["c"] = true
 			f := seven(verdicts.Limit)
-			f.Level = 40
-			s.own("a", f)
-			s.own("b", verdicts.Fact{Subject: verdicts.Subject{Dst: 8}, Kind: verdicts.Down})
-			s.pass(5 * sec)
-			s.phase("c starts again: it learns before it sends more than a trickle")
+			f.Value = 40
+			s.observe("a", f)
+			s.observe("b", verdicts.Fact{Subject: verdicts.Subject{Dst: 8}, Kind: verdicts.Down})
+			s.advance(5 * second)
+			s.phase("c restarts: it syncs before it sends at more than a low rate")
 			s.start("c", 2)
-			s.say("c is learning: %v", s.all["c"].table.Learning(s.now))
-			for n := 0; s.all["c"].table.Learning(s.now) && n < 500; n++ {
-				s.pass(s.turn)
+			s.logf("c is syncing: %v", s.all["c"].table.Syncing(s.now))
+			for n := 0; s.all["c"].table.Syncing(s.now) && n < 500; n++ {
+				s.advance(s.tickInterval)
 			}
-			s.say("c is learning: %v", s.all["c"].table.Learning(s.now))
-			s.known(7)
-			s.known(8)
-			s.phase("a and b die: what they saw counts for nothing past its greatest age")
+			s.logf("c is syncing: %v", s.all["c"].table.Syncing(s.now))
+			s.logFacts(7)
+			s.logFacts(8)
+			s.phase("a and b die: what they saw is ignored after its maximum age")
 			s.down["a"], s.down["b"] = true, true
-			s.pass(8 * sec)
-			s.known(8)
-			s.pass(60 * sec)
-			s.known(7)
+			s.advance(8 * second)
+			s.logFacts(8)
+			s.advance(60 * second)
+			s.logFacts(7)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newVerdictStage(t)
-			story(s)
+			s := newVerdictSimulation(t)
+			run(s)
 			s.compare("verdict-" + name)
 		})
 	}
 }
 
-// memberPart is one sender's view of the fleet.
-type memberPart struct {
-	s     *memberStage
-	name  string
-	fleet *members.Fleet
-	seen  map[string]string
+// memberNode is the failure detector of one sender.
+type memberNode struct {
+	s            *memberSimulation
+	name         string
+	detector     *members.Detector
+	loggedStates map[string]string
 }
 
-type memberStage struct {
-	*stage[members.Msg]
-	all map[string]*memberPart
+type memberSimulation struct {
+	*simulation[members.Msg]
+	all map[string]*memberNode
 }
 
-func newMemberStage(t *testing.T) *memberStage {
-	s := &memberStage{newStage[members.Msg](t), map[string]*memberPart{}}
-	s.quiet = func(m members.Msg) bool { return true } // beats: what comes of them is written
+func newMemberSimulation(t *testing.T) *memberSimulation {
+	s := &memberSimulation{newSimulation[members.Msg](t), map[string]*memberNode{}}
+	s.omitted = func(m members.Msg) bool { return true } // heartbeats: only the state changes that follow are written
 	s.phase("three senders start")
 	for _, name := range s.names {
-		w := &memberPart{s: s, name: name}
-		s.all[name], s.parts[name] = w, w
+		w := &memberNode{s: s, name: name}
+		s.all[name], s.nodes[name] = w, w
 		s.start(name, 1, 1)
 	}
-	s.pass(3 * sec)
+	s.advance(3 * second)
 	return s
 }
 
-func (s *memberStage) start(name string, incarnation, folder uint64) {
+func (s *memberSimulation) start(name string, incarnation, folder uint64) {
 	s.down[name] = false
-	s.say("%s starts, folder %d, incarnation %d", name, folder, incarnation)
-	s.all[name].fleet = members.New(name, s.names, incarnation, folder, members.Usual(3))
-	s.all[name].seen = map[string]string{}
+	s.logf("%s starts, folder %d, incarnation %d", name, folder, incarnation)
+	s.all[name].detector = members.New(name, s.names, incarnation, folder, members.DefaultTiming(3))
+	s.all[name].loggedStates = map[string]string{}
 }
 
-func (w *memberPart) tick(now int64) []post.Letter[members.Msg] {
-	letters := w.fleet.Tick(now)
-	w.tell()
-	return letters
+func (w *memberNode) tick(now int64) []post.PeerMessage[members.Msg] {
+	messages := w.detector.Tick(now)
+	w.logChanges()
+	return messages
 }
 
-func (w *memberPart) hear(now int64, from string, m members.Msg) []post.Letter[members.Msg] {
-	letters := w.fleet.Heard(now, from, m)
-	w.tell()
-	return letters
+func (w *memberNode) receive(now int64, from string, m members.Msg) []post.PeerMessage[members.Msg] {
+	messages := w.detector.Receive(now, from, m)
+	w.logChanges()
+	return messages
 }
 
-func (w *memberPart) tell() {
-	for _, m := range w.fleet.View().Members {
+func (w *memberNode) logChanges() {
+	for _, m := range w.detector.View().Members {
 		text := fmt.Sprintf("%v, folder %d, incarnation %d", m.State, m.Folder, m.Incarnation)
-		if w.seen[m.Name] != text {
-			w.seen[m.Name] = text
-			w.s.say("%s sees %s: %s", w.name, m.Name, text)
+		if w.loggedStates[m.Name] != text {
+			w.loggedStates[m.Name] = text
+			w.s.logf("%s sees %s: %s", w.name, m.Name, text)
 		}
 	}
 }
 
 func TestTranscriptsOfMembers(t *testing.T) {
 	t.Parallel()
-	for name, story := range map[string]func(s *memberStage){
-		"killed": func(s *memberStage) {
+	for name, run := range map[string]func(s *memberSimulation){
+		"killed": func(s *memberSimulation) {
 			s.phase("c is killed, and back with its folder after 10 s")
 			s.down["c"] = true
-			s.pass(10 * sec)
+			s.advance(10 * second)
 			s.start("c", 2, 1)
-			s.pass(4 * sec)
+			s.advance(4 * second)
 			s.phase("c is killed, and back with another folder")
 			s.down["c"] = true
-			s.pass(10 * sec)
+			s.advance(10 * second)
 			s.start("c", 1, 2)
-			s.pass(6 * sec)
+			s.advance(6 * second)
 		},
-		"one-way-cut": func(s *memberStage) {
-			s.phase("what c sends to a is lost; b still hears it")
-			s.apart[[2]string{"c", "a"}] = true
-			s.pass(10 * sec)
-			s.phase("what c sends to b is lost too; it hears both")
-			s.apart[[2]string{"c", "b"}] = true
-			s.pass(10 * sec)
-			s.phase("the cut heals")
-			clear(s.apart)
-			s.pass(10 * sec)
+		"one-way-cut": func(s *memberSimulation) {
+			s.phase("messages from c to a are lost; b still receives them")
+			s.cut[[2]string{"c", "a"}] = true
+			s.advance(10 * second)
+			s.phase("messages from c to b are lost too; c receives from both")
+			s.cut[[2]string{"c", "b"}] = true
+			s.advance(10 * second)
+			s.phase("the partition heals")
+			clear(s.cut)
+			s.advance(10 * second)
 		},
-		"leaves": func(s *memberStage) {
-			s.phase("c says that it leaves")
-			s.send("c", s.all["c"].fleet.Leaving(s.now))
-			s.settle()
+		"leaves": func(s *memberSimulation) {
+			s.phase("c announces that it leaves")
+			s.send("c", s.all["c"].detector.Leave(s.now))
+			s.deliver()
 			s.down["c"] = true
-			s.pass(10 * sec)
+			s.advance(10 * second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newMemberStage(t)
-			story(s)
+			s := newMemberSimulation(t)
+			run(s)
 			s.compare("members-" + name)
 		})
 	}
