--- a/internal/fleettest/transcript_purge_test.go
+++ b/internal/fleettest/transcript_purge_test.go
@@ -11,69 +11,69 @@
 	"ravenlink/internal/purge"
 )
 
-// purgePart is one sender's part in purges, with what its folder holds: where each message was taken on, by tenant.
-type purgePart struct {
-	s       *purgeStage
-	name    string
-	machine *purge.Machine
-	folder  purgeFolder
-	life    uint64
-	started uint64
+// purgeNode is the purge machine of one sender, with the content of its folder.
+type purgeNode struct {
+	s           *purgeSimulation
+	name        string
+	machine     *purge.Machine
+	folder      purgeFolder
+	incarnation uint64
+	starts      uint64
 }
 
 type purgeFolder struct {
-	number uint64
-	memo   purge.Memo
-	seq    int64
-	items  map[string][]int64
-	slow   bool // erasing faults
+	id         uint64
+	snapshot   purge.Snapshot
+	seq        int64
+	messages   map[string][]int64 // sequence numbers of the accepted messages, by tenant
+	eraseFails bool               // erasing returns an error
 }
 
-func (f purgeFolder) copied() purgeFolder {
+func (f purgeFolder) clone() purgeFolder {
 	c := f
-	c.items = map[string][]int64{}
-	for t, all := range f.items {
-		c.items[t] = slices.Clone(all)
+	c.messages = map[string][]int64{}
+	for t, all := range f.messages {
+		c.messages[t] = slices.Clone(all)
 	}
 	return c
 }
 
-type purgeStage struct {
-	*stage[purge.Msg]
-	all map[string]*purgePart
+type purgeSimulation struct {
+	*simulation[purge.Msg]
+	all map[string]*purgeNode
 }
 
-func newPurgeStage(t *testing.T) *purgeStage {
-	s := &purgeStage{newStage[purge.Msg](t), map[string]*purgePart{}}
-	s.turn = sec / 10
+func newPurgeSimulation(t *testing.T) *purgeSimulation {
+	s := &purgeSimulation{newSimulation[purge.Msg](t), map[string]*purgeNode{}}
+	s.tickInterval = second / 10
 	s.phase("three senders, each with two messages of acme and one of bee")
 	for i, name := range s.names {
-		e := &purgePart{s: s, name: name, folder: purgeFolder{number: uint64(0x10 + i), seq: 3, items: map[string][]int64{"acme": {1, 3}, "bee": {2}}}}
-		s.all[name], s.parts[name] = e, e
+		e := &purgeNode{s: s, name: name, folder: purgeFolder{id: uint64(0x10 + i), seq: 3, messages: map[string][]int64{"acme": {1, 3}, "bee": {2}}}}
+		s.all[name], s.nodes[name] = e, e
 		s.start(name)
 	}
-	s.look()
-	s.pass(2 * sec)
+	s.updateViews()
+	s.advance(2 * second)
 	return s
 }
 
-func (s *purgeStage) start(name string) {
+func (s *purgeSimulation) start(name string) {
 	e := s.all[name]
 	s.down[name] = false
-	e.life++
-	e.started++
-	e.machine = purge.New(purge.Me{Name: name, Folder: e.folder.number, Incarnation: e.life, Boot: e.started << 8}, []string{"acme", "bee"}, e.folder.memo)
-	s.say("%s starts on folder %02x, which holds %v", name, e.folder.number, e.folder.items)
-	s.send(name, e.do(e.machine.Begin(s.now)))
+	e.incarnation++
+	e.starts++
+	e.machine = purge.New(purge.Identity{Name: name, Folder: e.folder.id, Incarnation: e.incarnation, BootID: e.starts << 8}, []string{"acme", "bee"}, e.folder.snapshot)
+	s.logf("%s starts on folder %02x, which holds %v", name, e.folder.id, e.folder.messages)
+	s.send(name, e.apply(e.machine.Start(s.now)))
 }
 
-func (s *purgeStage) kill(name string) {
-	s.say("%s is killed", name)
+func (s *purgeSimulation) kill(name string) {
+	s.logf("%s is killed", name)
 	s.down[name] = true
 }
 
-// look gives all senders their view: who is down or cut off is gone to them.
-func (s *purgeStage) look() {
+// updateViews gives all senders their view of the members: who is down or cut off is dead to them.
+func (s *purgeSimulation) updateViews() {
 	for _, name := range s.names {
 		if s.down[name] {
 			continue
@@ -81,169 +81,171 @@
 		v := members.View{Self: name, Epoch: uint64(s.now)}
 		for _, other := range s.names {
 			e := s.all[other]
-			m := members.Member{Name: other, Incarnation: e.life, Folder: e.folder.number, Since: s.now}
-			if s.down[other] || s.apart[[2]string{other, name}] {
-				m.State = members.Gone
+			m := members.Member{Name: other, Incarnation: e.incarnation, Folder: e.folder.id, Since: s.now}
+			if s.down[other] || s.cut[[2]string{other, name}] {
+				m.State = members.Dead
 			}
 			v.Members = append(v.Members, m)
 		}
-		s.send(name, s.all[name].do(s.all[name].machine.Seen(s.now, v)))
+		s.send(name, s.all[name].apply(s.all[name].machine.UpdateMembers(s.now, v)))
 	}
 }
 
-func (e *purgePart) tick(now int64) []post.Letter[purge.Msg] { return e.do(e.machine.Tick(now)) }
+func (e *purgeNode) tick(now int64) []post.PeerMessage[purge.Msg] {
+	return e.apply(e.machine.Tick(now))
+}
 
-func (e *purgePart) hear(now int64, from string, m purge.Msg) []post.Letter[purge.Msg] {
-	return e.do(e.machine.Hear(now, from, m))
+func (e *purgeNode) receive(now int64, from string, m purge.Msg) []post.PeerMessage[purge.Msg] {
+	return e.apply(e.machine.Receive(now, from, m))
 }
 
-// do carries out what comes of an event: the disk first, then acts, each of which is done at once.
-func (e *purgePart) do(out purge.Out) []post.Letter[purge.Msg] {
+// apply applies the effects of an event: it saves the snapshot first, then performs the actions, each of which finishes at once.
+func (e *purgeNode) apply(out purge.Effects) []post.PeerMessage[purge.Msg] {
 	if out.Save {
-		e.folder.memo = e.machine.Memo()
+		e.folder.snapshot = e.machine.Snapshot()
 	}
-	for _, n := range out.Notes {
-		e.s.say("%s notes: %s", e.name, n)
+	for _, n := range out.LogLines {
+		e.s.logf("%s logs: %s", e.name, n)
 	}
-	letters := out.Letters
-	for _, a := range out.Acts {
-		letters = append(letters, e.do(e.machine.Did(e.s.now, e.act(a)))...)
+	messages := out.PeerMessages
+	for _, a := range out.Actions {
+		messages = append(messages, e.apply(e.machine.HandleResult(e.s.now, e.perform(a)))...)
 	}
-	return letters
+	return messages
 }
 
-func (e *purgePart) act(a purge.Act) purge.Done {
-	d := purge.Done{Kind: a.Kind, Key: a.Key, Round: a.Round}
-	old := func(seq int64) bool { return seq <= a.Cut }
-	mine := e.folder.items[a.Key.Tenant]
+func (e *purgeNode) perform(a purge.Action) purge.ActionResult {
+	d := purge.ActionResult{Kind: a.Kind, Key: a.Key, Round: a.Round}
+	old := func(seq int64) bool { return seq <= a.Cutoff }
+	mine := e.folder.messages[a.Key.Tenant]
 	switch a.Kind {
 	case purge.Fence:
-		d.Cut = e.folder.seq
-		e.s.say("%s: %s is fenced at %d", e.name, a.Key, d.Cut)
+		d.Cutoff = e.folder.seq
+		e.s.logf("%s: %s is fenced at %d", e.name, a.Key, d.Cutoff)
 	case purge.Recall:
-		d.Counts.Ended = int64(len(mine))
+		d.Counts.EndedMessages = int64(len(mine))
 	case purge.Erase:
-		if e.folder.slow {
-			d.Fault = "disk full"
+		if e.folder.eraseFails {
+			d.Failure = "disk full"
 			break
 		}
 		n := len(mine)
-		e.folder.items[a.Key.Tenant] = slices.DeleteFunc(mine, old)
-		d.Counts.Kept = int64(n - len(e.folder.items[a.Key.Tenant]))
-		e.s.say("%s: %s erases %d up to %d", e.name, a.Key, d.Counts.Kept, a.Cut)
+		e.folder.messages[a.Key.Tenant] = slices.DeleteFunc(mine, old)
+		d.Counts.DeadLetters = int64(n - len(e.folder.messages[a.Key.Tenant]))
+		e.s.logf("%s: %s erases %d up to %d", e.name, a.Key, d.Counts.DeadLetters, a.Cutoff)
 	case purge.Verify:
 		if slices.ContainsFunc(mine, old) {
-			d.Found = 1
+			d.Remaining = 1
 		}
-		e.s.say("%s: %s reads the files back, found %d; they hold %v", e.name, a.Key, d.Found, e.folder.items)
+		e.s.logf("%s: %s verifies the files: %d remaining; they hold %v", e.name, a.Key, d.Remaining, e.folder.messages)
 	case purge.Post:
 		d.Notice = a.Notice.ID
-		e.s.say("%s to the customer, %s: %s", e.name, a.Notice.ID, a.Notice.Body)
+		e.s.logf("%s to the customer, %s: %s", e.name, a.Notice.ID, a.Notice.Body)
 	}
 	return d
 }
 
-func (s *purgeStage) order(at, more string) {
+func (s *purgeSimulation) order(at, more string) {
 	text := fmt.Sprintf(`{"order":"purge","tenant":"acme","scope":"all","tell":{"destination":9,"lane":"again"}%s}`, more)
 	s.orderText(at, text)
 }
 
-func (s *purgeStage) orderText(at, text string) {
-	s.say("customer to %s: %s", at, text[:min(len(text), 200)])
+func (s *purgeSimulation) orderText(at, text string) {
+	s.logf("customer to %s: %s", at, text[:min(len(text), 200)])
 	o, err := purge.Parse([]byte(text))
 	if err == nil {
-		var out purge.Out
+		var out purge.Effects
 		if out, err = s.all[at].machine.Accept(s.now, o); err == nil {
-			s.say("%s to customer: +OK", at)
-			s.send(at, s.all[at].do(out))
+			s.logf("%s to customer: +OK", at)
+			s.send(at, s.all[at].apply(out))
 			return
 		}
 	}
-	s.say("%s to customer: -ERR %s", at, strings.ReplaceAll(err.Error(), "\n", "; "))
+	s.logf("%s to customer: -ERR %s", at, strings.ReplaceAll(err.Error(), "\n", "; "))
 }
 
 func TestTranscriptsOfPurges(t *testing.T) {
 	t.Parallel()
 	one := `,"id":"one"`
-	for name, story := range map[string]func(s *purgeStage){
-		"split": func(s *purgeStage) {
-			s.phase("c is cut off; the order comes in at a")
-			s.cut("c", "ab", true)
-			s.look()
+	for name, run := range map[string]func(s *purgeSimulation){
+		"split": func(s *purgeSimulation) {
+			s.phase("c is cut off; the order is handed in at a")
+			s.setCut("c", "ab", true)
+			s.updateViews()
 			s.order("a", one)
-			s.pass(10 * sec)
-			s.phase("after five minutes the customer hears who is missing")
-			s.pass(300 * sec)
-			s.phase("the cut heals")
-			s.cut("c", "ab", false)
-			s.look()
-			s.pass(5 * sec)
+			s.advance(10 * second)
+			s.phase("after five minutes the customer is notified which senders are missing")
+			s.advance(300 * second)
+			s.phase("the partition heals")
+			s.setCut("c", "ab", false)
+			s.updateViews()
+			s.advance(5 * second)
 		},
-		"down-old-folder": func(s *purgeStage) {
-			old := s.all["c"].folder.copied()
-			s.phase("c is down when the order comes in at a")
+		"down-old-folder": func(s *purgeSimulation) {
+			old := s.all["c"].folder.clone()
+			s.phase("c is down when the order is handed in at a")
 			s.kill("c")
-			s.look()
+			s.updateViews()
 			s.order("a", one)
-			s.pass(10 * sec)
+			s.advance(10 * second)
 			s.phase("c is back with its folder")
 			s.start("c")
-			s.look()
-			s.pass(5 * sec)
-			s.phase("c is killed and comes back with a copy of its folder from before all this")
+			s.updateViews()
+			s.advance(5 * second)
+			s.phase("c is killed and restarted with a copy of its folder from before the purge")
 			s.kill("c")
-			s.look()
+			s.updateViews()
 			s.all["c"].folder = old
 			s.start("c")
-			s.look()
-			s.pass(5 * sec)
+			s.updateViews()
+			s.advance(5 * second)
 		},
-		"coordinator-killed": func(s *purgeStage) {
-			s.phase("a takes the order on; its copies reach b and c, and it is killed before their words reach it")
+		"coordinator-killed": func(s *purgeSimulation) {
+			s.phase("a accepts the order; its copies reach b and c, and it is killed before their replies arrive")
 			s.order("a", one)
-			s.now += onWay
-			for len(s.mail) > 0 { // what a has sent arrives; the answers do not
-				l := s.mail[0]
-				s.mail = s.mail[1:]
+			s.now += networkDelay
+			for len(s.inFlight) > 0 { // messages from a arrive, the replies do not
+				l := s.inFlight[0]
+				s.inFlight = s.inFlight[1:]
 				if l.from == "a" {
-					s.send(l.to, s.parts[l.to].hear(s.now, l.from, l.m))
+					s.send(l.to, s.nodes[l.to].receive(s.now, l.from, l.m))
 				}
 			}
 			s.kill("a")
-			s.look()
-			s.phase("40 s without a word of the coordinator: another goes on, and waits for a's folder")
-			s.pass(60 * sec)
+			s.updateViews()
+			s.phase("40 s without a message from the coordinator: another one takes over, and waits for a's folder")
+			s.advance(60 * second)
 			s.phase("a is back with its folder")
 			s.start("a")
-			s.look()
-			s.pass(60 * sec)
+			s.updateViews()
+			s.advance(60 * second)
 		},
-		"folder-lost": func(s *purgeStage) {
-			s.phase("c's folder is lost: it starts on a new one, and the order comes in at b")
+		"folder-lost": func(s *purgeSimulation) {
+			s.phase("c's folder is lost: it starts on a new one, and the order is handed in at b")
 			s.kill("c")
-			s.look()
-			s.all["c"].folder, s.all["c"].life = purgeFolder{number: 0x99, items: map[string][]int64{}}, 0
+			s.updateViews()
+			s.all["c"].folder, s.all["c"].incarnation = purgeFolder{id: 0x99, messages: map[string][]int64{}}, 0
 			s.start("c")
-			s.look()
+			s.updateViews()
 			s.order("b", one)
-			s.pass(10 * sec)
+			s.advance(10 * second)
 			s.phase("the operator declares folder 12 of c destroyed")
 			for _, name := range s.names {
-				s.send(name, s.all[name].do(s.all[name].machine.Declare(s.now, "c", 0x12, "operator's file")))
+				s.send(name, s.all[name].apply(s.all[name].machine.DeclareDestroyed(s.now, "c", 0x12, "operator's file")))
 			}
-			s.pass(5 * sec)
+			s.advance(5 * second)
 		},
-		"disk-full": func(s *purgeStage) {
-			s.phase("b's disk is full when the order comes in at a")
-			s.all["b"].folder.slow = true
+		"disk-full": func(s *purgeSimulation) {
+			s.phase("b's disk is full when the order is handed in at a")
+			s.all["b"].folder.eraseFails = true
 			s.order("a", one)
-			s.pass(7 * sec)
-			s.phase("b's disk has room again")
-			s.all["b"].folder.slow = false
-			s.pass(6 * sec)
+			s.advance(7 * second)
+			s.phase("b's disk has free space again")
+			s.all["b"].folder.eraseFails = false
+			s.advance(6 * second)
 		},
-		"orders-refused": func(s *purgeStage) {
-			s.phase("orders that are none")
+		"orders-refused": func(s *purgeSimulation) {
+			s.phase("invalid orders")
 			s.orderText("a", `purge acme`)
 			s.order("a", one+`,"why":"gdpr"`)
 			s.order("a", one+`,"id":"two"`)
@@ -255,29 +257,29 @@
 			s.orderText("a", `{"order":"cancel","tenant":"acme","id":"one"}`)
 			s.orderText("a", `{"order":"purge","tenant":"acme","scope":"all","id":"`+strings.Repeat("long", 600)+`"}`)
 		},
-		"orders-together": func(s *purgeStage) {
+		"orders-together": func(s *purgeSimulation) {
 			s.phase("c is down; one order is replaced by another, which is handed in again, also at b, and cancelled")
 			s.kill("c")
-			s.look()
+			s.updateViews()
 			s.order("a", one)
-			s.pass(sec)
+			s.advance(second)
 			s.order("a", `,"id":"two","replaces":"one"`)
-			s.pass(sec)
+			s.advance(second)
 			s.order("a", `,"id":"two","replaces":"one"`)
 			s.order("b", `,"id":"two","replaces":"one"`)
 			s.order("b", `,"id":"two"`)
-			s.pass(sec)
+			s.advance(second)
 			s.orderText("a", `{"order":"cancel","tenant":"acme","id":"two"}`)
-			s.pass(sec)
-			s.phase("c is back: what was fenced stays fenced")
+			s.advance(second)
+			s.phase("c is back: fences stay in force")
 			s.start("c")
-			s.look()
-			s.pass(5 * sec)
+			s.updateViews()
+			s.advance(5 * second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newPurgeStage(t)
-			story(s)
+			s := newPurgeSimulation(t)
+			run(s)
 			s.compare("purge-" + name)
 		})
 	}
--- a/internal/fleettest/transcript_rig_test.go
+++ b/internal/fleettest/transcript_rig_test.go
@@ -16,37 +16,37 @@
 	"ravenlink/internal/spool"
 )
 
-// Transcript collects a whole exchange as text: what each end saw, in its own order, and what the folders held when asked. It is
-// normalised, so that the same run gives the same bytes: addresses become names, times and remaining times go.
+// Transcript collects a whole exchange as text: what each end saw, in its own order, and what the state folders contained. The text is
+// normalised so that each run gives the same bytes: addresses are replaced by names, times and remaining times are removed.
 //
-// Compare reads the approved one from testdata/NAME.golden and shows the difference. A changed one is approved by
+// Compare compares it with the approved transcript in testdata/NAME.golden and shows the difference. To approve a changed one, run
 //
 //	go test ./internal/fleettest -run Transcript -update
 type Transcript struct {
-	r    *Rig
-	from Record // what stands in the text already
-	text strings.Builder
+	r       *Rig
+	written Record // the part of the record that is in the text
+	text    strings.Builder
 
-	repeats map[string]int // notices left out, by sender
+	repeatedNotices map[string]int // repeated notices that were omitted, by sender
 }
 
-// Transcript begins one.
-func (r *Rig) Transcript() *Transcript { return &Transcript{r: r, repeats: map[string]int{}} }
+// Transcript starts a transcript.
+func (r *Rig) Transcript() *Transcript { return &Transcript{r: r, repeatedNotices: map[string]int{}} }
 
-// Phase writes what has passed since the last one, under a title. What was waited for before has to be all that passes.
+// Phase writes the traffic since the last phase under a title. The test must have waited for all of it.
 func (t *Transcript) Phase(title string) {
 	rec := t.r.Record()
 	fmt.Fprintf(&t.text, "== %s\n", title)
-	t.section("senders", len(t.from.Acts), len(rec.Acts), func(i int) string { return rec.Acts[i].Sender + ": " + rec.Acts[i].What })
-	t.section("clients", len(t.from.HandIns), len(rec.HandIns), func(i int) string {
+	t.section("senders", len(t.written.Actions), len(rec.Actions), func(i int) string { return rec.Actions[i].Sender + ": " + rec.Actions[i].What })
+	t.section("clients", len(t.written.HandIns), len(rec.HandIns), func(i int) string {
 		h := rec.HandIns[i]
-		return fmt.Sprintf("to %s: ENQUEUE %s %s %s %q\nfrom %s: %s", h.Sender, orderKey(h.Message), h.ID, fields(h.Message), h.Body, h.Sender, h.Answer)
+		return fmt.Sprintf("to %s: ENQUEUE %s %s %s %q\nfrom %s: %s", h.Sender, encodeOrderKey(h.Message), h.ID, encodeFields(h.Message), h.Body, h.Sender, h.Answer)
 	})
 	for _, dst := range t.r.setup.Destinations {
 		var calls []string
-		for _, c := range rec.Calls[len(t.from.Calls):] {
+		for _, c := range rec.Calls[len(t.written.Calls):] {
 			if c.Dst == dst {
-				calls = append(calls, fmt.Sprintf("from %s: %s\nanswered %s", c.Sender, strings.TrimSpace(c.Text), status(c)))
+				calls = append(calls, fmt.Sprintf("from %s: %s\nanswered %s", c.Sender, strings.TrimSpace(c.RawRequest), status(c)))
 			}
 		}
 		t.section(fmt.Sprintf("receiver of %d", dst), 0, len(calls), func(i int) string { return calls[i] })
@@ -55,20 +55,21 @@
 	t.section("platform", 0, len(notices), func(i int) string {
 		return fmt.Sprintf("from %s: %s %s", notices[i].Sender, notices[i].ID, notices[i].State)
 	})
-	t.from = rec
+	t.written = rec
 }
 
-// notices are those since the last phase. A sender tells a notice again whose post had no answer within 80 ms, which beside load comes from a
-// platform that has it already and takes the second for the same; as many are left out as the sender's log says were not taken.
+// notices returns the notices since the last phase. A sender sends a notice again if the answer takes longer than 80 ms, which happens under
+// load; the platform then has it already and takes the second as a duplicate. As many repeated notices are omitted as the sender logged as
+// not taken.
 func (t *Transcript) notices(rec Record) (fresh []Notice) {
 	known := map[[3]string]bool{}
-	for _, n := range t.from.Notices {
+	for _, n := range t.written.Notices {
 		known[[3]string{n.Sender, n.ID, n.State}] = true
 	}
-	for _, n := range rec.Notices[len(t.from.Notices):] {
+	for _, n := range rec.Notices[len(t.written.Notices):] {
 		key := [3]string{n.Sender, n.ID, n.State}
-		if known[key] && t.repeats[n.Sender] < len(logLines(t.r.Sender(n.Sender), "notices not taken")) {
-			t.repeats[n.Sender]++
+		if known[key] && t.repeatedNotices[n.Sender] < len(logLines(t.r.Sender(n.Sender), "notices not taken")) {
+			t.repeatedNotices[n.Sender]++
 			continue
 		}
 		known[key] = true
@@ -81,8 +82,8 @@
 	switch {
 	case c.Status == 0:
 		return "nothing"
-	case c.Wait > 0:
-		return fmt.Sprintf("%d, come in %v", c.Status, c.Wait)
+	case c.RetryAfter > 0:
+		return fmt.Sprintf("%d, retry after %v", c.Status, c.RetryAfter)
 	}
 	return fmt.Sprint(c.Status)
 }
@@ -97,22 +98,22 @@
 	}
 }
 
-// Links writes which facts have passed on which links since the transcript began, each once: how often one was told depends on time.
-// Label names those that count, without what changes from run to run; empty for the others.
+// Links writes which facts were delivered on which links since the transcript started. Each is written once, because the number of repeats
+// depends on timing. label returns a description of a fact without parts that vary from run to run, or an empty one to omit it.
 func (t *Transcript) Links(label func(Post, links.Frame) string) {
-	told := map[string]bool{}
+	delivered := map[string]bool{}
 	for _, p := range t.r.Record().Posts {
 		for _, f := range p.Frames {
-			if what := label(p, f); what != "" && p.Fate == "passed" {
-				told[fmt.Sprintf("%s to %s: %s", p.From, p.To, what)] = true
+			if what := label(p, f); what != "" && p.Outcome == "delivered" {
+				delivered[fmt.Sprintf("%s to %s: %s", p.From, p.To, what)] = true
 			}
 		}
 	}
-	lines := slices.Sorted(maps.Keys(told))
+	lines := slices.Sorted(maps.Keys(delivered))
 	t.section("links", 0, len(lines), func(i int) string { return lines[i] })
 }
 
-// Disk writes what a sender's folder owes, read from a copy of it.
+// Disk writes the messages that a sender's folder owes, read from a copy of it.
 func (t *Transcript) Disk(one *Sender) {
 	dir, err := os.MkdirTemp("", "disk")
 	require.NoError(t.r.t, err)
@@ -124,10 +125,10 @@
 	for _, n := range notes {
 		fmt.Fprintln(&t.text, "note:", n)
 	}
-	owed := s.Owed()
+	owed := s.Pending()
 	slices.SortFunc(owed, func(a, b *spool.Message) int { return strings.Compare(a.ID, b.ID) })
 	for _, m := range owed {
-		fmt.Fprintf(&t.text, "owed: %s, lane %s, key %s, destination %d, %d legs, %q\n", m.ID, m.Lane, m.Key, m.Dst, len(m.Legs), m.Body)
+		fmt.Fprintf(&t.text, "owed: %s, class %s, key %s, destination %d, %d legs, %q\n", m.ID, m.Class, m.Key, m.Dst, len(m.Legs), m.Body)
 	}
 	if len(owed) == 0 {
 		fmt.Fprintln(&t.text, "nothing owed")
@@ -135,17 +136,17 @@
 	require.NoError(t.r.t, s.Close())
 }
 
-var remaining = regexp.MustCompile(`X-Remaining-Ms: \d+`)
+var remainingTime = regexp.MustCompile(`X-Remaining-Ms: \d+`)
 
-// String is the normalised text.
+// String returns the normalised text.
 func (t *Transcript) String() string {
 	text := strings.ReplaceAll(t.text.String(), "\r", "")
-	text = remaining.ReplaceAllString(text, "X-Remaining-Ms: MS")
+	text = remainingTime.ReplaceAllString(text, "X-Remaining-Ms: MS")
 	names := map[string]string{}
 	for _, s := range t.r.senders {
-		names[s.Listen], names[s.Links] = "sender-"+s.Name, "links-"+s.Name
+		names[s.ClientAddr], names[s.LinkAddr] = "sender-"+s.Name, "links-"+s.Name
 		names[s.platform.server.Listener.Addr().String()] = "platform"
-		for dst, server := range s.reach {
+		for dst, server := range s.receivers {
 			names[server.Listener.Addr().String()] = fmt.Sprintf("receiver-%d", dst)
 		}
 	}
@@ -155,7 +156,7 @@
 	return text
 }
 
-// Compare shows the difference to the approved one.
+// Compare fails the test if the transcript differs from the approved one, and shows the difference.
 func (t *Transcript) Compare(name string) {
 	t.r.t.Helper()
 	goldie.New(t.r.t, goldie.WithDiffEngine(goldie.ColoredDiff)).Assert(t.r.t, name, []byte(t.String()))
--- a/internal/fleettest/transcript_virtual_test.go
+++ b/internal/fleettest/transcript_virtual_test.go
@@ -14,146 +14,147 @@
 	"ravenlink/internal/purge"
 )
 
-// part is one sender's decision module.
-type part[M any] interface {
-	tick(now int64) []post.Letter[M]
-	hear(now int64, from string, m M) []post.Letter[M]
+// node is the decision module of one sender.
+type node[M any] interface {
+	tick(now int64) []post.PeerMessage[M]
+	receive(now int64, from string, m M) []post.PeerMessage[M]
 }
 
-// stage plays the decision modules of some senders in virtual time and writes down what they tell one another: where processes cannot
-// give the same bytes twice. A letter that says nothing new within a phase, but for its times, is written once.
-type stage[M any] struct {
-	t     *testing.T
-	now   int64
-	names []string
-	parts map[string]part[M]
-	down  map[string]bool
-	apart map[[2]string]bool
-	mail  []sent[M]
-	lost  []sent[M] // letters that came to a cut or to nobody
-	text  strings.Builder
-	said  map[string]bool
-	quiet func(M) bool // letters that are not written
-	kinds []string     // names of M's kinds, from 1
-	turn  int64        // µs between ticks
+// simulation runs the decision modules of some senders in virtual time and writes a transcript of their peer messages, for cases where
+// real processes would not give the same bytes twice. A peer message that differs from an earlier one of the same phase in its times only
+// is not written again.
+type simulation[M any] struct {
+	t            *testing.T
+	now          int64
+	names        []string
+	nodes        map[string]node[M]
+	down         map[string]bool
+	cut          map[[2]string]bool
+	inFlight     []envelope[M]
+	lost         []envelope[M] // peer messages whose link was cut or whose receiver was down
+	text         strings.Builder
+	written      map[string]bool
+	omitted      func(M) bool // selects peer messages that are not written
+	kinds        []string     // names of M's kinds, starting with kind 1
+	tickInterval int64        // µs between ticks
 }
 
-type sent[M any] struct {
+type envelope[M any] struct {
 	due      int64
 	from, to string
 	m        M
 }
 
 const (
-	onWay = 1_000 // µs that a letter is on its way
-	sec   = 1_000_000
+	networkDelay = 1_000 // µs from the sending of a peer message to its delivery
+	second       = 1_000_000
 )
 
-func newStage[M any](t *testing.T, kinds ...string) *stage[M] {
+func newSimulation[M any](t *testing.T, kinds ...string) *simulation[M] {
 	t.Parallel()
-	return &stage[M]{t: t, now: sec, names: []string{"a", "b", "c"}, parts: map[string]part[M]{}, down: map[string]bool{}, kinds: kinds, turn: 10_000,
-		apart: map[[2]string]bool{}, said: map[string]bool{}, quiet: func(M) bool { return false }}
+	return &simulation[M]{t: t, now: second, names: []string{"a", "b", "c"}, nodes: map[string]node[M]{}, down: map[string]bool{}, kinds: kinds, tickInterval: 10_000,
+		cut: map[[2]string]bool{}, written: map[string]bool{}, omitted: func(M) bool { return false }}
 }
 
-func (s *stage[M]) phase(format string, a ...any) {
+func (s *simulation[M]) phase(format string, a ...any) {
 	fmt.Fprintf(&s.text, "== "+format+"\n", a...)
-	clear(s.said)
+	clear(s.written)
 }
 
-func (s *stage[M]) say(format string, a ...any) {
-	fmt.Fprintf(&s.text, "%8.3f s  %s\n", float64(s.now-sec)/sec, fmt.Sprintf(format, a...))
+func (s *simulation[M]) logf(format string, a ...any) {
+	fmt.Fprintf(&s.text, "%8.3f s  %s\n", float64(s.now-second)/second, fmt.Sprintf(format, a...))
 }
 
-// once says what was not said in this phase.
-func (s *stage[M]) once(format string, a ...any) {
-	if text := fmt.Sprintf(format, a...); !s.said[text] {
-		s.said[text] = true
-		s.say("%s", text)
+// logOnce writes a line unless the phase has it already.
+func (s *simulation[M]) logOnce(format string, a ...any) {
+	if text := fmt.Sprintf(format, a...); !s.written[text] {
+		s.written[text] = true
+		s.logf("%s", text)
 	}
 }
 
-func (s *stage[M]) send(from string, letters []post.Letter[M]) {
-	for _, l := range letters {
+func (s *simulation[M]) send(from string, messages []post.PeerMessage[M]) {
+	for _, l := range messages {
 		for _, to := range s.names {
 			if to == from || l.To != "" && l.To != to && to != from {
 				continue
 			}
 			lost := ""
-			if s.apart[[2]string{from, to}] || s.down[to] {
+			if s.cut[[2]string{from, to}] || s.down[to] {
 				lost = ", lost"
-				s.lost = append(s.lost, sent[M]{from: from, to: to, m: l.Msg})
+				s.lost = append(s.lost, envelope[M]{from: from, to: to, m: l.Msg})
 			} else {
-				s.mail = append(s.mail, sent[M]{s.now + onWay, from, to, l.Msg})
+				s.inFlight = append(s.inFlight, envelope[M]{s.now + networkDelay, from, to, l.Msg})
 			}
-			if !s.quiet(l.Msg) {
-				s.once("%s to %s%s: %s", from, to, lost, letterText(reflect.ValueOf(l.Msg), s.kinds))
+			if !s.omitted(l.Msg) {
+				s.logOnce("%s to %s%s: %s", from, to, lost, messageText(reflect.ValueOf(l.Msg), s.kinds))
 			}
 		}
-		if l.To == from { // an elector may be the asker itself
-			s.mail = append(s.mail, sent[M]{s.now, from, from, l.Msg})
+		if l.To == from { // a voter may be the requester itself
+			s.inFlight = append(s.inFlight, envelope[M]{s.now, from, from, l.Msg})
 		}
 	}
 }
 
-// pass lets time pass: letters arrive, all that are up take their turns.
-func (s *stage[M]) pass(d int64) {
+// advance advances the time by d: it delivers peer messages and ticks all nodes that are up.
+func (s *simulation[M]) advance(d int64) {
 	for end := s.now + d; s.now < end; {
-		s.settle()
-		s.now += s.turn
+		s.deliver()
+		s.now += s.tickInterval
 		for _, name := range s.names {
 			if !s.down[name] {
-				s.send(name, s.parts[name].tick(s.now))
+				s.send(name, s.nodes[name].tick(s.now))
 			}
 		}
 	}
-	s.settle()
+	s.deliver()
 }
 
-// settle delivers what is on its way, and what comes of it, within this moment.
-func (s *stage[M]) settle() {
+// deliver delivers the peer messages in flight and those that follow from them, within the current tick.
+func (s *simulation[M]) deliver() {
 	at := s.now
-	for len(s.mail) > 0 {
-		l := s.mail[0]
-		s.mail = s.mail[1:]
+	for len(s.inFlight) > 0 {
+		l := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
 		s.now = max(s.now, l.due)
 		if !s.down[l.to] {
-			s.send(l.to, s.parts[l.to].hear(s.now, l.from, l.m))
+			s.send(l.to, s.nodes[l.to].receive(s.now, l.from, l.m))
 		}
 	}
-	s.now = max(at, (s.now+s.turn-1)/s.turn*s.turn)
+	s.now = max(at, (s.now+s.tickInterval-1)/s.tickInterval*s.tickInterval)
 }
 
-func (s *stage[M]) cut(one, other string, apart bool) {
-	for _, a := range one {
-		for _, b := range other {
-			s.apart[[2]string{string(a), string(b)}], s.apart[[2]string{string(b), string(a)}] = apart, apart
+func (s *simulation[M]) setCut(group, others string, cut bool) {
+	for _, a := range group {
+		for _, b := range others {
+			s.cut[[2]string{string(a), string(b)}], s.cut[[2]string{string(b), string(a)}] = cut, cut
 		}
 	}
 }
 
-func (s *stage[M]) compare(name string) {
+func (s *simulation[M]) compare(name string) {
 	s.t.Helper()
 	goldie.New(s.t, goldie.WithDiffEngine(goldie.ColoredDiff)).Assert(s.t, name, []byte(s.text.String()))
 }
 
-// left out of what is written: times, and numbers that stand for times.
-var passing = []string{"Stamp", "Age", "At", "Echo", "EchoOf", "Held", "Since", "List", "Digest", "Slack", "Seen"}
+// omittedFields are not written: times, and numbers that depend on times.
+var omittedFields = []string{"Age", "Echo", "EchoOf", "Digest", "Slack", "Seen", "SentAt", "OwnedSince", "LimitAge", "EchoDelay", "ListDigest", "KnownFolders"}
 
-// letterText writes a letter as its fields that are not zero.
-func letterText(v reflect.Value, kinds []string) string {
+// messageText formats the fields of a peer message that are not zero.
+func messageText(v reflect.Value, kinds []string) string {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
 			return "none"
 		}
-		return letterText(v.Elem(), kinds)
+		return messageText(v.Elem(), kinds)
 	case reflect.Slice:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
 			return fmt.Sprintf("%q", v.Bytes())
 		}
 		var all []string
 		for i := range v.Len() {
-			all = append(all, letterText(v.Index(i), kinds))
+			all = append(all, messageText(v.Index(i), kinds))
 		}
 		return "[" + strings.Join(all, ", ") + "]"
 	case reflect.Struct:
@@ -163,17 +164,17 @@
 		case purge.Order:
 			return k.Key().String()
 		case purge.Epoch:
-			return fmt.Sprint(k.N, " by ", k.By)
+			return fmt.Sprint(k.N, " by ", k.Issuer)
 		}
 		var all []string
 		for i := range v.NumField() {
 			f, name := v.Field(i), v.Type().Field(i).Name
 			switch {
-			case name == "_" || f.IsZero() || slices.Contains(passing, name) && f.Kind() != reflect.Struct:
+			case name == "_" || f.IsZero() || slices.Contains(omittedFields, name) && f.Kind() != reflect.Struct:
 			case name == "Kind" && f.Kind() == reflect.Uint8 && int(f.Uint()) <= len(kinds):
 				all = append(all, kinds[f.Uint()-1])
 			default:
-				all = append(all, name+" "+letterText(f, nil))
+				all = append(all, name+" "+messageText(f, nil))
 			}
 		}
 		return "{" + strings.Join(all, ", ") + "}"
--- a/internal/keep/purge.go
+++ b/internal/keep/purge.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	besides     = ".new"  // the file that a purge writes beside the store's
-	mostInStep  = 1 << 20 // bytes that bbolt copies in one transaction
-	zerosAtOnce = 1 << 16 // bytes
+	newFileSuffix  = ".new"  // temporary file that replaces the store's file in a purge
+	compactTxBytes = 1 << 20 // bytes that bbolt copies per transaction
+	zeroChunk      = 1 << 16 // bytes per write
 )
 
-// Fence has ends not kept from now on that are older than a purge.
+// Fence sets which records are older than a purge. Add rejects them from now on.
 func (s *Store) Fence(old func(*kept.Record) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fenced = old
 }
 
-// Purge has no byte of records that match left in the folder, nor of any that was dropped before. It drops them, writes what stays into
-// a new file, puts that in the store's place and overwrites the old one with zeros. After an error, or a crash at any point, what does
-// not match is as it was and a further Purge ends the work. Whoever uses the store meanwhile waits.
+// Purge erases every byte of the matching records, and of any record deleted earlier, from the folder. It deletes the records, copies the
+// rest to a new file, replaces the store's file with it and overwrites the old file with zeros. After an error or a crash at any point the other
+// records are unchanged, and another Purge completes the work. Other calls wait meanwhile.
 func (s *Store) Purge(match func(*kept.Record) bool) (dropped int, rewritten int64, err error) {
 	for from, first := []byte(nil), true; first || from != nil; first = false {
 		rs, next, err := s.Page(from, match)
 		if err != nil {
 			return dropped, 0, err
 		}
-		if err := s.dropAll(rs); err != nil {
+		if err := s.deleteAll(rs); err != nil {
 			return dropped, 0, err
 		}
 		dropped += len(rs)
 		from = next
 	}
-	rewritten, err = s.rewrite()
-	return dropped, rewritten, wrap(err)
+	rewritten, err = s.compact()
+	return dropped, rewritten, wrapError(err)
 }
 
-func (s *Store) dropAll(rs []*kept.Record) error {
+func (s *Store) deleteAll(rs []*kept.Record) error {
 	if len(rs) == 0 {
 		return nil
 	}
-	return wrap(s.update(func(tx *bbolt.Tx) error {
+	return wrapError(s.update(func(tx *bbolt.Tx) error {
 		for _, r := range rs {
-			if now, err := get(tx, r.ID); err != nil || now.KeptAt != r.KeptAt {
-				continue // gone meanwhile
+			if current, err := get(tx, r.ID); err != nil || current.StoredAt != r.StoredAt {
+				continue // deleted or replaced meanwhile
 			}
-			if err := s.drop(tx, r); err != nil {
+			if err := s.remove(tx, r); err != nil {
 				return err
 			}
 		}
@@ -59,41 +59,41 @@
 	}))
 }
 
-// rewrite copies what is there into a new file, without the free pages and what they still hold. The new file is open and locked before
-// it takes the name, so no other process can come between.
-func (s *Store) rewrite() (size int64, err error) {
+// compact copies the records to a new file without the free pages and their contents. The new file is open and locked before it is renamed,
+// so that no other process can open it in between.
+func (s *Store) compact() (size int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to, err := bbolt.Open(s.path+besides, 0o600, &bbolt.Options{Timeout: lockFor, FreelistType: bbolt.FreelistMapType, NoSync: true})
+	newDB, err := bbolt.Open(s.path+newFileSuffix, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoSync: true})
 	if err != nil {
 		return 0, err
 	}
 	defer func() {
 		if err != nil {
-			_ = to.Close()
-			_ = os.Remove(s.path + besides)
+			_ = newDB.Close()
+			_ = os.Remove(s.path + newFileSuffix)
 		}
 	}()
-	if err = bbolt.Compact(to, s.db, mostInStep); err != nil {
+	if err = bbolt.Compact(newDB, s.db, compactTxBytes); err != nil {
 		return 0, err
 	}
-	if err = to.Sync(); err != nil {
+	if err = newDB.Sync(); err != nil {
 		return 0, err
 	}
-	to.NoSync = false
-	old, err := os.OpenFile(s.path, os.O_WRONLY, 0)
+	newDB.NoSync = false
+	oldFile, err := os.OpenFile(s.path, os.O_WRONLY, 0)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = old.Close() }()
-	if err = os.Rename(s.path+besides, s.path); err != nil {
+	defer func() { _ = oldFile.Close() }()
+	if err = os.Rename(s.path+newFileSuffix, s.path); err != nil {
 		return 0, err
 	}
-	before := s.db
-	s.db = to
-	_ = before.Close() // the new file is in force: what follows is about the old one alone
-	if fault := overwrite(old); fault != nil {
-		return 0, fmt.Errorf("old file not overwritten: %w", fault)
+	oldDB := s.db
+	s.db = newDB
+	_ = oldDB.Close() // the new file is in use: the remaining steps concern the old one only
+	if fault := zeroFill(oldFile); fault != nil {
+		return 0, fmt.Errorf("overwriting the old file: %w", fault)
 	}
 	info, fault := os.Stat(s.path)
 	if fault != nil {
@@ -102,15 +102,15 @@
 	return info.Size(), syncDir(filepath.Dir(s.path))
 }
 
-// overwrite puts zeros over a file that has no name any more, for those who could still read its blocks.
-func overwrite(f *os.File) error {
+// zeroFill overwrites a file that is already unlinked, for the case that its blocks can still be read.
+func zeroFill(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
 		return err
 	}
-	zeros := make([]byte, zerosAtOnce)
-	for left := info.Size(); left > 0; left -= zerosAtOnce {
-		if _, err := f.Write(zeros[:min(left, zerosAtOnce)]); err != nil {
+	zeros := make([]byte, zeroChunk)
+	for left := info.Size(); left > 0; left -= zeroChunk {
+		if _, err := f.Write(zeros[:min(left, zeroChunk)]); err != nil {
 			return err
 		}
 	}
@@ -126,8 +126,8 @@
 	return f.Sync()
 }
 
-// Holds reads the file back and counts the records that match.
-func (s *Store) Holds(match func(*kept.Record) bool) (n int, err error) {
+// CountMatching reads the file back and counts the matching records.
+func (s *Store) CountMatching(match func(*kept.Record) bool) (n int, err error) {
 	for from, first := []byte(nil), true; first || from != nil; first = false {
 		rs, next, err := s.Page(from, match)
 		if err != nil {
--- a/internal/keep/purge_test.go
+++ b/internal/keep/purge_test.go
@@ -16,7 +16,7 @@
 
 const secret = "what-acme-would-have-gone"
 
-// residue counts the files in which a body with the secret stands, as it is or as JSON writes bytes, at each of the three offsets.
+// residue counts the files that contain the secret, in plain text or base64-encoded by JSON at any of the three offsets.
 func residue(t *testing.T, dir string) (n int) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -36,7 +36,7 @@
 	return n
 }
 
-func filled(t *testing.T, dir string) *Store {
+func filledStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir, 0, 0)
 	require.NoError(t, err)
@@ -47,47 +47,47 @@
 			body = fmt.Sprintf("%d%s", i, secret)
 		}
 		r := kept.New(fmt.Sprintf("m%d", i), "l", int64(1+i%2), "k", "", []byte(body), int64(i), false, 0, nil, nil)
-		r.Taken = int64(i)
+		r.AcceptSeq = int64(i)
 		rs = append(rs, r)
 	}
-	_, err = s.Keep(rs, 0)
+	_, err = s.Add(rs, 0)
 	require.NoError(t, err)
-	for i := range 100 { // dropped long before, and still in free pages
+	for i := range 100 { // deleted long before, but still in free pages
 		require.NoError(t, s.Drop(fmt.Sprintf("m%d", i)))
 	}
 	return s
 }
 
-func TestPurgeLeavesNoByte(t *testing.T) {
+func TestPurgeLeavesNoResidue(t *testing.T) {
 	dir := t.TempDir()
-	s := filled(t, dir)
-	match := func(r *kept.Record) bool { return r.Dst == 1 && r.Taken <= 1500 }
+	s := filledStore(t, dir)
+	match := func(r *kept.Record) bool { return r.Dst == 1 && r.AcceptSeq <= 1500 }
 	all := func(r *kept.Record) bool { return r.Dst == 1 }
 
 	rs, _, err := s.Page(nil, all)
 	require.NoError(t, err)
-	require.NoError(t, s.dropAll(rs))
-	require.Positive(t, residue(t, dir), "the planted fault, a plain delete, is found")
+	require.NoError(t, s.deleteAll(rs))
+	require.Positive(t, residue(t, dir), "a plain delete leaves residue, and the check finds it")
 
 	dropped, size, err := s.Purge(all)
 	require.NoError(t, err)
 	assert.Positive(t, dropped)
 	assert.Positive(t, size)
 	assert.Zero(t, residue(t, dir))
-	n, err := s.Holds(all)
+	n, err := s.CountMatching(all)
 	require.NoError(t, err)
 	assert.Zero(t, n)
 
 	s.Fence(match)
 	old := kept.New("late", "l", 1, "", "", []byte("1"+secret), 1, false, 0, nil, nil)
 	newer := kept.New("newer", "l", 1, "", "", []byte("newer"), 1, false, 0, nil, nil)
-	newer.Taken = 1501
-	_, err = s.Keep([]*kept.Record{old, newer}, 0)
+	newer.AcceptSeq = 1501
+	_, err = s.Add([]*kept.Record{old, newer}, 0)
 	require.NoError(t, err)
 	_, _, err = s.Purge(match)
 	require.NoError(t, err)
 	_, err = s.Get("late")
-	require.ErrorIs(t, err, ErrUnknown)
+	require.ErrorIs(t, err, ErrNotFound)
 	st, err := s.Stats()
 	require.NoError(t, err)
 	assert.Equal(t, 600+1, st.Records, "the other tenant's, and the newer one")
@@ -99,12 +99,12 @@
 	require.NoError(t, again.Close())
 }
 
-// A purge that a crash or a full disk cut short: what stays is there, and a further one ends the work.
-func TestPurgeOfKeptCutShort(t *testing.T) {
+// After a purge that a crash or a full disk interrupted, the other records are intact and another purge completes the work.
+func TestInterruptedPurgeOfStore(t *testing.T) {
 	dir := t.TempDir()
-	s := filled(t, dir)
+	s := filledStore(t, dir)
 	all := func(r *kept.Record) bool { return r.Dst == 1 }
-	blocked := filepath.Join(dir, fileName+besides)
+	blocked := filepath.Join(dir, fileName+newFileSuffix)
 	require.NoError(t, os.Mkdir(blocked, 0o700))
 	_, _, err := s.Purge(all)
 	require.Error(t, err)
--- a/internal/keep/store.go
+++ b/internal/keep/store.go
@@ -1,5 +1,5 @@
-// Package keep is the store of kept messages in the folder that outlasts the process: a bbolt file, bounded in bytes and age.
-// What is decided about them is in internal/kept.
+// Package keep stores dead letters in the sender's state folder, in a bbolt file that is bounded in size and age, and resends them.
+// Package kept decides what happens to them.
 package keep
 
 import (
@@ -18,84 +18,84 @@
 )
 
 const (
-	fileName    = "kept.db"
-	form        = "1"             // of the file; a file of another form is left alone
-	lockFor     = 2 * time.Second // to wait for another process to let go of the file
-	recordExtra = 64              // bytes that a record takes beside its own
-	mostPage    = 1000            // records of one page of a list
+	fileName       = "kept.db"
+	formatVersion  = "1"             // of the file; a file with another version is not modified
+	lockTimeout    = 2 * time.Second // wait for another process to release the file
+	recordOverhead = 64              // bytes stored per record besides its JSON
+	pageSize       = 1000            // records read in one transaction of Page
 )
 
 var (
 	metaBucket    = []byte("meta")
 	recordsBucket = []byte("records") // by id
-	ageBucket     = []byte("age")     // when kept and id, to the bytes it takes
-	formKey       = []byte("form")
+	ageBucket     = []byte("age")     // from time of storage and id to the bytes counted
+	formatKey     = []byte("form")
 	bytesKey      = []byte("bytes")
-	gaveWayKey    = []byte("gave way")
+	evictedKey    = []byte("gave way")
 )
 
-// The faults that callers tell apart.
+// Errors that callers distinguish.
 var (
-	ErrBusy    = errors.New("kept messages: the file is in use by a running sender")
-	ErrUnknown = errors.New("kept messages: no such message")
-	ErrFull    = errors.New("kept messages: no room, and nothing that may give way")
+	ErrInUse    = errors.New("kept messages: the file is in use by a running sender")
+	ErrNotFound = errors.New("kept messages: no such message")
+	ErrFull     = errors.New("kept messages: the store is full and no record can be evicted")
 )
 
-// Store keeps records.
+// Store is a file of dead letters.
 type Store struct {
-	path string
-	most int64 // bytes of records; 0 for no bound
-	age  int64 // µs after which a record gives way; 0 for none
+	path     string
+	maxBytes int64 // bytes of records; 0 for no limit
+	maxAge   int64 // in µs; older records are evicted; 0 for no limit
 
-	mu     sync.RWMutex // for db, which a purge puts another file in the place of; held over the file's own I/O, as bbolt's lock is
+	mu     sync.RWMutex // guards db, which a purge replaces; held during file I/O, as the lock of bbolt is
 	db     *bbolt.DB
-	fenced func(*kept.Record) bool // older than a purge; nil: none is
+	fenced func(*kept.Record) bool // whether a record is older than a purge; nil: none is
 }
 
-// Open opens the store of a folder, or begins it.
-func Open(dir string, most, age int64) (*Store, error) {
+// Open opens the store in a folder, and creates it if there is none.
+func Open(dir string, maxBytes, maxAge int64) (*Store, error) {
 	path := filepath.Join(dir, fileName)
-	if err := os.Remove(path + besides); err != nil && !os.IsNotExist(err) { // of a purge that a crash cut short
+	if err := os.Remove(path + newFileSuffix); err != nil && !os.IsNotExist(err) { // left behind by a crash during a purge
 		return nil, fmt.Errorf("kept messages: %w", err)
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockFor, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, ErrBusy
+		return nil, ErrInUse
 	}
 	if err != nil {
 		return nil, fmt.Errorf("kept messages: %s: %w", path, err)
 	}
-	s := &Store{path: path, db: db, most: most, age: age}
-	if err := db.Update(s.begin); err != nil {
+	s := &Store{path: path, db: db, maxBytes: maxBytes, maxAge: maxAge}
+	if err := db.Update(s.initialize); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("kept messages: %s: %w", path, err)
 	}
 	return s, nil
 }
 
-// Exists tells whether a folder has a store.
+// Exists reports whether a folder has a store.
 func Exists(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, fileName))
 	return err == nil
 }
 
-func (s *Store) begin(tx *bbolt.Tx) error {
+func (s *Store) initialize(tx *bbolt.Tx) error {
 	meta, err := tx.CreateBucketIfNotExists(metaBucket)
 	if err != nil {
 		return err
 	}
-	if is := meta.Get(formKey); is != nil && string(is) != form {
-		return fmt.Errorf("it is of form %s, this is %s", is, form)
+	if found := meta.Get(formatKey); found != nil && string(found) != formatVersion {
+		return fmt.Errorf("the file has form %s, only form %s is supported", found, formatVersion)
 	}
 	for _, name := range [][]byte{recordsBucket, ageBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
 	}
-	return meta.Put(formKey, []byte(form))
+	return meta.Put(formatKey, []byte(formatVersion))
 }
 
-// Close lets go of the file.
+// Close closes the file.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,17 +105,17 @@
 	return nil
 }
 
-// Keep writes records down in one step, on disk when it returns. One that is there already stays as it is but for legs that surely never
-// ran, so that the same end told again after a crash is no second record. Old ones give way for want of room; how many is told.
-func (s *Store) Keep(records []*kept.Record, now int64) (gaveWay int, err error) {
+// Add stores records in one transaction that is on disk when it returns. A record that is there already only takes over legs proven never to
+// have run, so that an end reported again after a crash is not stored twice. It returns how many old records were evicted.
+func (s *Store) Add(records []*kept.Record, now int64) (evicted int, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
-		gaveWay = 0
+		evicted = 0
 		for _, r := range records {
 			if s.fenced != nil && s.fenced(r) {
 				continue
 			}
 			if tx.Bucket(recordsBucket).Get([]byte(r.ID)) != nil {
-				if err := s.proveAgain(tx, r); err != nil {
+				if err := s.mergeProof(tx, r); err != nil {
 					return err
 				}
 				continue
@@ -124,30 +124,30 @@
 			if err != nil {
 				return err
 			}
-			n, err := s.makeRoom(tx, int64(len(text)+recordExtra), now)
+			n, err := s.makeRoom(tx, int64(len(text)+recordOverhead), now)
 			if err != nil {
 				return err
 			}
-			gaveWay += n
+			evicted += n
 			if err := s.put(tx, r, text); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	return gaveWay, wrap(err)
+	return evicted, wrapError(err)
 }
 
-// proveAgain adds to a record that is there already what a crash came before. Its state stays: a person may have changed it since.
-func (s *Store) proveAgain(tx *bbolt.Tx, again *kept.Record) error {
-	r, err := get(tx, again.ID)
-	if err != nil || !r.Prove(again.Legs) {
+// mergeProof adds to a stored record the proof that a crash kept from being stored. The state stays: an operator may have changed it since.
+func (s *Store) mergeProof(tx *bbolt.Tx, repeated *kept.Record) error {
+	r, err := get(tx, repeated.ID)
+	if err != nil || !r.MarkNeverRan(repeated.Legs) {
 		return err
 	}
-	return s.rewriteRecord(tx, r)
+	return s.saveRecord(tx, r)
 }
 
-func (s *Store) rewriteRecord(tx *bbolt.Tx, r *kept.Record) error {
+func (s *Store) saveRecord(tx *bbolt.Tx, r *kept.Record) error {
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -155,96 +155,96 @@
 	return s.put(tx, r, text)
 }
 
-func wrap(err error) error {
-	if err == nil || errors.Is(err, ErrFull) || errors.Is(err, ErrUnknown) {
+func wrapError(err error) error {
+	if err == nil || errors.Is(err, ErrFull) || errors.Is(err, ErrNotFound) {
 		return err
 	}
 	return fmt.Errorf("kept messages: %w", err)
 }
 
 func ageKey(r *kept.Record) []byte {
-	return append(binary.BigEndian.AppendUint64(nil, uint64(r.KeptAt)), r.ID...)
+	return append(binary.BigEndian.AppendUint64(nil, uint64(r.StoredAt)), r.ID...)
 }
 
-func number(b *bbolt.Bucket, key []byte) int64 {
+func readCounter(b *bbolt.Bucket, key []byte) int64 {
 	if v := b.Get(key); len(v) == 8 {
 		return int64(binary.BigEndian.Uint64(v))
 	}
 	return 0
 }
 
-func add(b *bbolt.Bucket, key []byte, n int64) error {
-	return b.Put(key, binary.BigEndian.AppendUint64(nil, uint64(number(b, key)+n)))
+func addToCounter(b *bbolt.Bucket, key []byte, n int64) error {
+	return b.Put(key, binary.BigEndian.AppendUint64(nil, uint64(readCounter(b, key)+n)))
 }
 
-// put writes a record, in place of its older form if there is one.
+// put writes a record and replaces an earlier version of it.
 func (s *Store) put(tx *bbolt.Tx, r *kept.Record, text []byte) error {
-	size := int64(len(text) + recordExtra)
-	old := number(tx.Bucket(ageBucket), ageKey(r))
+	size := int64(len(text) + recordOverhead)
+	oldSize := readCounter(tx.Bucket(ageBucket), ageKey(r))
 	if err := tx.Bucket(recordsBucket).Put([]byte(r.ID), text); err != nil {
 		return err
 	}
 	if err := tx.Bucket(ageBucket).Put(ageKey(r), binary.BigEndian.AppendUint64(nil, uint64(size))); err != nil {
 		return err
 	}
-	return add(tx.Bucket(metaBucket), bytesKey, size-old)
+	return addToCounter(tx.Bucket(metaBucket), bytesKey, size-oldSize)
 }
 
-// settled tells whether a record may give way: nothing is to be sent again for it, or nothing is known to be under way.
-func settled(r *kept.Record) bool { return r.State != kept.Intended && r.State != kept.Waiting }
+// evictable reports whether a record may be evicted first: it is neither about to be resent nor waiting for a decision.
+func evictable(r *kept.Record) bool { return r.State != kept.Resending && r.State != kept.Waiting }
 
-// makeRoom drops what is too old, and then for want of bytes the oldest that will not be sent again; if that is not enough,
-// the oldest of all but those on their way.
-func (s *Store) makeRoom(tx *bbolt.Tx, size, now int64) (gaveWay int, err error) {
+// makeRoom evicts records over the maximum age, then for lack of space the oldest evictable ones, and then the oldest of all but those
+// about to be resent.
+func (s *Store) makeRoom(tx *bbolt.Tx, size, now int64) (evicted int, err error) {
 	meta := tx.Bucket(metaBucket)
-	if s.most > 0 && size > s.most {
+	if s.maxBytes > 0 && size > s.maxBytes {
 		return 0, ErrFull
 	}
-	left := number(meta, bytesKey) + size
-	for _, may := range []func(*kept.Record) bool{settled, func(r *kept.Record) bool { return r.State != kept.Intended }} {
-		var out []*kept.Record // dropping moves a cursor, so it comes after the walk
+	total := readCounter(meta, bytesKey) + size
+	for _, allowed := range []func(*kept.Record) bool{evictable, func(r *kept.Record) bool { return r.State != kept.Resending }} {
+		var evict []*kept.Record // deletion moves the cursor, so it follows the iteration
 		c := tx.Bucket(ageBucket).Cursor()
 		for k, v := c.First(); k != nil; k, v = c.Next() {
-			old := s.age > 0 && now-int64(binary.BigEndian.Uint64(k)) > s.age
-			if !old && (s.most <= 0 || left <= s.most) {
+			expired := s.maxAge > 0 && now-int64(binary.BigEndian.Uint64(k)) > s.maxAge
+			if !expired && (s.maxBytes <= 0 || total <= s.maxBytes) {
 				break
 			}
 			r, err := get(tx, string(k[8:]))
 			if err != nil {
-				return gaveWay, err
+				return evicted, err
 			}
-			if may(r) {
-				out = append(out, r)
-				left -= int64(binary.BigEndian.Uint64(v))
+			if allowed(r) {
+				evict = append(evict, r)
+				total -= int64(binary.BigEndian.Uint64(v))
 			}
 		}
-		for _, r := range out {
-			if err := s.drop(tx, r); err != nil {
-				return gaveWay, err
+		for _, r := range evict {
+			if err := s.remove(tx, r); err != nil {
+				return evicted, err
 			}
 		}
-		if gaveWay += len(out); s.most <= 0 || left <= s.most {
-			return gaveWay, add(meta, gaveWayKey, int64(gaveWay))
+		if evicted += len(evict); s.maxBytes <= 0 || total <= s.maxBytes {
+			return evicted, addToCounter(meta, evictedKey, int64(evicted))
 		}
 	}
-	return gaveWay, ErrFull
+	return evicted, ErrFull
 }
 
-func (s *Store) drop(tx *bbolt.Tx, r *kept.Record) error {
-	size := number(tx.Bucket(ageBucket), ageKey(r))
+func (s *Store) remove(tx *bbolt.Tx, r *kept.Record) error {
+	size := readCounter(tx.Bucket(ageBucket), ageKey(r))
 	if err := tx.Bucket(ageBucket).Delete(ageKey(r)); err != nil {
 		return err
 	}
 	if err := tx.Bucket(recordsBucket).Delete([]byte(r.ID)); err != nil {
 		return err
 	}
-	return add(tx.Bucket(metaBucket), bytesKey, -size)
+	return addToCounter(tx.Bucket(metaBucket), bytesKey, -size)
 }
 
 func get(tx *bbolt.Tx, id string) (*kept.Record, error) {
 	text := tx.Bucket(recordsBucket).Get([]byte(id))
 	if text == nil {
-		return nil, fmt.Errorf("%w: %s", ErrUnknown, id)
+		return nil, fmt.Errorf("%w: %s", ErrNotFound, id)
 	}
 	r := &kept.Record{}
 	return r, json.Unmarshal(text, r)
@@ -262,18 +262,18 @@
 	return s.db.View(f)
 }
 
-// Get finds a record.
+// Get returns a record.
 func (s *Store) Get(id string) (r *kept.Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		r, err = get(tx, id)
 		return err
 	})
-	return r, wrap(err)
+	return r, wrapError(err)
 }
 
-// Change has a record changed and written down, on disk when it returns. An error of change leaves it as it was.
-func (s *Store) Change(id string, change func(*kept.Record) error) error {
-	return wrap(s.update(func(tx *bbolt.Tx) error {
+// Update changes a record in a transaction that is on disk when it returns. If change fails, the record stays as it was.
+func (s *Store) Update(id string, change func(*kept.Record) error) error {
+	return wrapError(s.update(func(tx *bbolt.Tx) error {
 		r, err := get(tx, id)
 		if err != nil {
 			return err
@@ -281,23 +281,23 @@
 		if err := change(r); err != nil {
 			return err
 		}
-		return s.rewriteRecord(tx, r)
+		return s.saveRecord(tx, r)
 	}))
 }
 
-// Drop forgets a record for good.
+// Drop deletes a record permanently.
 func (s *Store) Drop(id string) error {
-	return wrap(s.update(func(tx *bbolt.Tx) error {
+	return wrapError(s.update(func(tx *bbolt.Tx) error {
 		r, err := get(tx, id)
 		if err != nil {
 			return err
 		}
-		return s.drop(tx, r)
+		return s.remove(tx, r)
 	}))
 }
 
-// Page lists records, those kept first first, that a filter wants. It looks at so many at most in one read of the file, so
-// that a long list does not hold back writers, and gives the place to go on from, empty at the end.
+// Page returns the records that want accepts, in order of storage. Each call reads at most pageSize records, so that a long list does not
+// block writers, and returns the position to continue from, or nil at the end.
 func (s *Store) Page(from []byte, want func(*kept.Record) bool) (rs []*kept.Record, next []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(ageBucket).Cursor()
@@ -306,7 +306,7 @@
 			k, _ = c.Seek(from)
 		}
 		for n := 0; k != nil; k, _ = c.Next() {
-			if n++; n > mostPage {
+			if n++; n > pageSize {
 				next = append([]byte(nil), k...)
 				return nil
 			}
@@ -320,22 +320,22 @@
 		}
 		return nil
 	})
-	return rs, next, wrap(err)
+	return rs, next, wrapError(err)
 }
 
-// Stats is how a store stands.
+// Stats describes the contents of a store.
 type Stats struct {
 	Records int   `json:"records"`
 	Bytes   int64 `json:"bytes"`
-	GaveWay int64 `json:"gave_way"` // since it was begun
+	Evicted int64 `json:"gave_way"` // since the store was created
 }
 
-// Stats counts.
+// Stats returns the size of the store and its evictions.
 func (s *Store) Stats() (st Stats, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		st = Stats{tx.Bucket(ageBucket).Stats().KeyN, number(meta, bytesKey), number(meta, gaveWayKey)}
+		st = Stats{tx.Bucket(ageBucket).Stats().KeyN, readCounter(meta, bytesKey), readCounter(meta, evictedKey)}
 		return nil
 	})
-	return st, wrap(err)
+	return st, wrapError(err)
 }
--- a/internal/kept/record.go
+++ b/internal/kept/record.go
@@ -1,5 +1,5 @@
-// Package kept decides what becomes of messages that ended undelivered and are kept: what is held for a person, what is
-// dropped, what is sent again and when, and what must never be. It has no I/O and no clock.
+// Package kept decides what happens to dead letters, messages that ended undelivered and were stored: which are held for an operator,
+// which are deleted, and which are resent and when, if that is allowed at all. It has no I/O and no clock.
 package kept
 
 import (
@@ -7,85 +7,85 @@
 	"strconv"
 )
 
-// State of a kept message. Every change goes through Turn.
+// State is the state of a dead letter. All changes go through Transition.
 type State string
 
-// The states.
+// States of a dead letter.
 const (
-	Waiting  State = "waiting"  // a rule says what becomes of it
-	Held     State = "held"     // for a person
-	Intended State = "intended" // to be sent again: on disk before the first byte; after a crash it counts as sent
-	Sent     State = "sent"     // out again, or it may be
-	Done     State = "done"     // what was sent again was delivered
-	Followed State = "followed" // what was sent again ended undelivered, and is kept itself
-	Dropped  State = "dropped"
+	Waiting     State = "waiting"  // awaits a decision by the rules
+	Held        State = "held"     // awaits an operator
+	Resending   State = "intended" // recorded on disk before the first byte goes out; after a crash it counts as resent
+	Resent      State = "sent"     // resent, or it may have been
+	Delivered   State = "done"     // the resent message was delivered
+	FailedAgain State = "followed" // the resent message ended undelivered and is stored as a dead letter itself
+	Dropped     State = "dropped"
 )
 
-// steps are the changes allowed.
-var steps = map[State][]State{
-	Waiting:  {Held, Intended, Dropped},
-	Held:     {Waiting, Intended, Dropped},
-	Intended: {Sent, Waiting}, // back only by one that surely sent nothing
-	Sent:     {Done, Followed, Dropped},
-	Done:     {Dropped},
-	Followed: {Dropped},
+// transitions lists the allowed changes of state.
+var transitions = map[State][]State{
+	Waiting:     {Held, Resending, Dropped},
+	Held:        {Waiting, Resending, Dropped},
+	Resending:   {Resent, Waiting}, // back only if it is certain that nothing was sent
+	Resent:      {Delivered, FailedAgain, Dropped},
+	Delivered:   {Dropped},
+	FailedAgain: {Dropped},
 }
 
-// Leg is one of a message's legs, as far as it is known.
+// Leg is one leg of a message, as far as it is known.
 type Leg struct {
-	At       int64  `json:"at_us"`
-	Took     int64  `json:"took_us,omitempty"`
-	Receiver string `json:"receiver,omitempty"`
-	Result   string `json:"result,omitempty"` // empty: not known to the process that kept it
-	Wait     int64  `json:"wait_us,omitempty"`
-	NeverRan bool   `json:"never_ran,omitempty"`
+	At         int64  `json:"at_us"`
+	Elapsed    int64  `json:"took_us,omitempty"`
+	Receiver   string `json:"receiver,omitempty"`
+	Result     string `json:"result,omitempty"` // empty: unknown to the process that stored it
+	RetryAfter int64  `json:"wait_us,omitempty"`
+	NeverRan   bool   `json:"never_ran,omitempty"`
 }
 
-// Step is one change of a record's state, for people.
-type Step struct {
-	At    int64  `json:"at_us"`
-	State State  `json:"state"`
-	Why   string `json:"why"`
+// StateChange is an entry of a record's history, for operators.
+type StateChange struct {
+	At     int64  `json:"at_us"`
+	State  State  `json:"state"`
+	Reason string `json:"why"`
 }
 
-// mostSteps is how many changes a record remembers; the first and the latest stay.
-const mostSteps = 32
+// maxHistory is the maximum length of a history; the first entry and the latest ones stay.
+const maxHistory = 32
 
-// Record is a kept message.
+// Record is a dead letter.
 type Record struct {
-	ID         string `json:"id"`
-	Lane       string `json:"lane"`
-	Dst        int64  `json:"destination"`
-	Key        string `json:"key,omitempty"`
-	OrderKey   string `json:"order_key,omitempty"`
-	Body       []byte `json:"body"`
-	KeptAt     int64  `json:"kept_at_us"`
-	PushedBack bool   `json:"pushed_back"`
-	Advice     int64  `json:"advice_us,omitempty"`
-	Legs       []Leg  `json:"legs"`
-	State      State  `json:"state"`
-	History    []Step `json:"history"`
-	Generation int    `json:"generation"`        // times that it has been sent again before
-	First      string `json:"first,omitempty"`   // the id that it had at first
-	Before     string `json:"before,omitempty"`  // the id that it was sent again from
-	SentAs     string `json:"sent_as,omitempty"` // the id that it was sent again under
-	Cleared    bool   `json:"cleared,omitempty"` // a person has said that it may go again though it may have run
-	Taken      int64  `json:"taken,omitempty"`   // the sender's count when its first generation was taken on; of use in its folder alone
-	FirstRun   int64  `json:"first_run_us"`      // when the first leg that may have run went out, over all generations; 0 for none
+	ID             string        `json:"id"`
+	Class          string        `json:"lane"`
+	Dst            int64         `json:"destination"`
+	Key            string        `json:"key,omitempty"`
+	OrderKey       string        `json:"order_key,omitempty"`
+	Body           []byte        `json:"body"`
+	StoredAt       int64         `json:"kept_at_us"`
+	Rejected       bool          `json:"pushed_back"`
+	RetryAfter     int64         `json:"advice_us,omitempty"`
+	Legs           []Leg         `json:"legs"`
+	State          State         `json:"state"`
+	History        []StateChange `json:"history"`
+	Generation     int           `json:"generation"`        // number of earlier resends
+	FirstID        string        `json:"first,omitempty"`   // id of the first generation
+	ResentFrom     string        `json:"before,omitempty"`  // id of the dead letter that was resent as this message
+	ResentAs       string        `json:"sent_as,omitempty"` // id of the message that it was resent as
+	ResendApproved bool          `json:"cleared,omitempty"` // an operator allowed a resend although the message may have run
+	AcceptSeq      int64         `json:"taken,omitempty"`   // sequence number of the first generation's acceptance; valid in its sender's folder only
+	FirstRunAt     int64         `json:"first_run_us"`      // when the first leg that may have run was sent, over all generations; 0 for none
 }
 
-// MayHaveRun tells whether any leg of it may have had an effect.
-func (r *Record) MayHaveRun() bool { return r.FirstRun > 0 }
+// MayHaveRun reports whether any leg of the message may have had an effect.
+func (r *Record) MayHaveRun() bool { return r.FirstRunAt > 0 }
 
-// Turn changes the state.
-func (r *Record) Turn(to State, at int64, why string) error {
-	for _, s := range steps[r.State] {
+// Transition changes the state and records the change.
+func (r *Record) Transition(to State, at int64, reason string) error {
+	for _, s := range transitions[r.State] {
 		if s != to {
 			continue
 		}
 		r.State = to
-		r.History = append(r.History, Step{at, to, why})
-		if len(r.History) > mostSteps {
+		r.History = append(r.History, StateChange{at, to, reason})
+		if len(r.History) > maxHistory {
 			r.History = append(r.History[:1], r.History[2:]...)
 		}
 		return nil
@@ -93,39 +93,39 @@
 	return fmt.Errorf("message %s is %s, and does not become %s", r.ID, r.State, to)
 }
 
-// NextID is the id under which it is sent again: the same for the same generation, so that no two attempts to send it
-// again look like two messages.
+// NextID returns the id to resend the message under. It depends on the generation alone, so that repeated attempts of one resend are not
+// taken for different messages.
 func (r *Record) NextID() string {
-	first := r.First
+	first := r.FirstID
 	if first == "" {
 		first = r.ID
 	}
 	return first + "-r" + strconv.Itoa(r.Generation+1)
 }
 
-// New makes the record of a message that has just ended. before is the record that it was sent again from, nil for none.
-func New(id, lane string, dst int64, key, orderKey string, body []byte, at int64, pushedBack bool, advice int64, legs []Leg,
+// New returns the record of a message that has just ended; before is the dead letter that it was resent from, or nil.
+func New(id, class string, dst int64, key, orderKey string, body []byte, at int64, rejected bool, retryAfter int64, legs []Leg,
 	before *Record) *Record {
-	r := &Record{ID: id, Lane: lane, Dst: dst, Key: key, OrderKey: orderKey, Body: body, KeptAt: at, PushedBack: pushedBack,
-		Advice: advice, Legs: legs, State: Waiting, History: []Step{{at, Waiting, "ended undelivered"}}}
-	r.FirstRun = firstRun(legs)
+	r := &Record{ID: id, Class: class, Dst: dst, Key: key, OrderKey: orderKey, Body: body, StoredAt: at, Rejected: rejected,
+		RetryAfter: retryAfter, Legs: legs, State: Waiting, History: []StateChange{{at, Waiting, "ended undelivered"}}}
+	r.FirstRunAt = firstPossibleRun(legs)
 	if before != nil {
-		r.Generation, r.Before, r.First = before.Generation+1, before.ID, before.First
-		if r.First == "" {
-			r.First = before.ID
+		r.Generation, r.ResentFrom, r.FirstID = before.Generation+1, before.ID, before.FirstID
+		if r.FirstID == "" {
+			r.FirstID = before.ID
 		}
-		if before.Taken > 0 {
-			r.Taken = before.Taken // a purge that was before the first is before all
+		if before.AcceptSeq > 0 {
+			r.AcceptSeq = before.AcceptSeq // a purge that covers the first generation covers all later ones
 		}
-		if before.FirstRun > 0 {
-			r.FirstRun = before.FirstRun // an effect of an earlier generation is one of this message
+		if before.FirstRunAt > 0 {
+			r.FirstRunAt = before.FirstRunAt // an effect of an earlier generation is an effect of this message
 		}
 	}
 	return r
 }
 
-// firstRun is when the first of some legs that may have run went out, 0 for none.
-func firstRun(legs []Leg) (at int64) {
+// firstPossibleRun returns when the first leg that may have run was sent, or 0 if none may have run.
+func firstPossibleRun(legs []Leg) (at int64) {
 	for _, l := range legs {
 		if !l.NeverRan && (at == 0 || l.At < at) {
 			at = l.At
@@ -134,10 +134,10 @@
 	return at
 }
 
-// Prove takes in legs that surely never ran, which was not known when the record was made. It tells whether any is new. When an earlier
-// generation may have run, that stays.
-func (r *Record) Prove(legs []Leg) (changed bool) {
-	own := r.FirstRun == firstRun(r.Legs)
+// MarkNeverRan marks legs that were proven never to have run after the record was made, and reports whether any is new. A FirstRunAt from an
+// earlier generation is kept.
+func (r *Record) MarkNeverRan(legs []Leg) (changed bool) {
+	own := r.FirstRunAt == firstPossibleRun(r.Legs)
 	for _, proven := range legs {
 		for i, l := range r.Legs {
 			if proven.NeverRan && l.At == proven.At && !l.NeverRan {
@@ -146,7 +146,7 @@
 		}
 	}
 	if own {
-		r.FirstRun = firstRun(r.Legs)
+		r.FirstRunAt = firstPossibleRun(r.Legs)
 	}
 	return changed
 }
--- a/internal/kept/rules.go
+++ b/internal/kept/rules.go
@@ -7,93 +7,93 @@
 	"ravenlink/internal/strict"
 )
 
-// Act is what a rule does.
-type Act string
+// Action is what a rule does with a dead letter.
+type Action string
 
-// The acts.
+// Actions of a rule.
 const (
-	Hold Act = "hold" // for a person
-	Drop Act = "drop"
-	Send Act = "send" // again
+	Hold   Action = "hold" // for an operator
+	Drop   Action = "drop"
+	Resend Action = "send"
 )
 
-// Rule says what becomes of the messages that it fits. The first that fits counts.
+// Rule decides about the dead letters that it matches. The first matching rule applies.
 type Rule struct {
-	Lane        string      `toml:"lane"`         // empty: any
-	Destination []int64     `toml:"destination"`  // none: any
-	End         string      `toml:"end"`          // pushed_back, failed, or empty for either
-	MayHaveRun  string      `toml:"may_have_run"` // yes, no, or empty for either
-	Older       strict.Span `toml:"older"`        // than this; 0 for any age
-	Act         Act         `toml:"act"`
-	After       strict.Span `toml:"after"`    // since it was kept
-	Hours       string      `toml:"hours"`    // of the day, UTC, within which to send, such as 06:00-18:00; empty: any
-	Rate        float64     `toml:"rate"`     // kept messages a second for a destination
-	Sick        bool        `toml:"sick"`     // send although the destination is not believed healthy
-	Most        int         `toml:"most"`     // generations
-	Deadline    strict.Span `toml:"deadline"` // of what is sent again
+	Class        string          `toml:"lane"`         // empty: any
+	Destinations []int64         `toml:"destination"`  // none: any
+	Outcome      string          `toml:"end"`          // pushed_back, failed, or empty for either
+	MayHaveRun   string          `toml:"may_have_run"` // yes, no, or empty for either
+	MinAge       strict.Duration `toml:"older"`        // 0: any age
+	Action       Action          `toml:"act"`
+	Delay        strict.Duration `toml:"after"`    // since it was stored
+	Hours        string          `toml:"hours"`    // time of day, UTC, in which to resend, such as 06:00-18:00; empty: any
+	Rate         float64         `toml:"rate"`     // resends a second per destination
+	IgnoreHealth bool            `toml:"sick"`     // resend even if the destination is believed unhealthy
+	MaxResends   int             `toml:"most"`     // resends of one message
+	Deadline     strict.Duration `toml:"deadline"` // of the resent message
 }
 
-// What stands for settings left out.
+// Defaults and limits of settings.
 const (
-	usualRate     = 1.0
-	usualMost     = 3
-	usualDeadline = strict.Span(28e6)
-	mostRate      = 1000.0
+	defaultRate       = 1.0
+	defaultMaxResends = 3
+	defaultDeadline   = strict.Duration(28e6)
+	maxRate           = 1000.0
 )
 
-// Fill sets what was left out.
-func (r *Rule) Fill() {
+// SetDefaults fills in settings that were left out.
+func (r *Rule) SetDefaults() {
 	if r.Rate == 0 {
-		r.Rate = usualRate
+		r.Rate = defaultRate
 	}
-	if r.Most == 0 {
-		r.Most = usualMost
+	if r.MaxResends == 0 {
+		r.MaxResends = defaultMaxResends
 	}
 	if r.Deadline == 0 {
-		r.Deadline = usualDeadline
+		r.Deadline = defaultDeadline
 	}
 }
 
-// Check names what is wrong with a rule.
-func (r Rule) Check(fault func(setting, what string)) {
-	one := func(setting, v string, few ...string) {
-		for _, f := range few {
+// Validate reports each invalid setting of a rule.
+func (r Rule) Validate(report func(setting, what string)) {
+	oneOf := func(setting, v string, allowed ...string) {
+		for _, f := range allowed {
 			if v == f {
 				return
 			}
 		}
-		fault(setting, fmt.Sprintf("%q is none of %q", v, few))
+		report(setting, fmt.Sprintf("%q is none of %q", v, allowed))
 	}
-	one("act", string(r.Act), string(Hold), string(Drop), string(Send))
-	one("end", r.End, "", "pushed_back", "failed")
-	one("may_have_run", r.MayHaveRun, "", "yes", "no")
-	if _, _, err := hours(r.Hours); err != nil {
-		fault("hours", err.Error())
+	oneOf("act", string(r.Action), string(Hold), string(Drop), string(Resend))
+	oneOf("end", r.Outcome, "", "pushed_back", "failed")
+	oneOf("may_have_run", r.MayHaveRun, "", "yes", "no")
+	if _, _, err := parseHours(r.Hours); err != nil {
+		report("hours", err.Error())
 	}
-	if r.Rate < 0 || r.Rate > mostRate {
-		fault("rate", fmt.Sprintf("%v is not within 0 and %v", r.Rate, mostRate))
+	if r.Rate < 0 || r.Rate > maxRate {
+		report("rate", fmt.Sprintf("%v is not within 0 and %v", r.Rate, maxRate))
 	}
-	if r.Most < 0 || r.Most > 100 {
-		fault("most", fmt.Sprintf("%d is not within 0 and 100", r.Most))
+	if r.MaxResends < 0 || r.MaxResends > 100 {
+		report("most", fmt.Sprintf("%d is not within 0 and 100", r.MaxResends))
 	}
 }
 
-// hours reads a span of the day as minutes since midnight. One that ends before it begins runs over midnight.
-func hours(text string) (from, to int, err error) {
+// parseHours parses a time-of-day range into minutes since midnight. A range that ends before it begins spans midnight.
+func parseHours(text string) (from, to int, err error) {
 	if text == "" {
 		return 0, 24 * 60, nil
 	}
 	var a, b, c, d int
 	if n, err := fmt.Sscanf(text, "%d:%d-%d:%d", &a, &b, &c, &d); n != 4 || err != nil || a < 0 || a > 23 || c < 0 || c > 24 ||
 		b < 0 || b > 59 || d < 0 || d > 59 || c == 24 && d > 0 || fmt.Sprintf("%02d:%02d-%02d:%02d", a, b, c, d) != text {
-		return 0, 0, fmt.Errorf("%q are no hours, such as 06:00-18:00", text)
+		return 0, 0, fmt.Errorf("%q is not a time range such as 06:00-18:00", text)
 	}
 	return 60*a + b, 60*c + d, nil
 }
 
-// opens gives the earliest time from at on that lies within hours.
-func opens(text string, at int64) int64 {
-	from, to, err := hours(text)
+// nextOpening returns the earliest time, not before at, that lies within the hours.
+func nextOpening(text string, at int64) int64 {
+	from, to, err := parseHours(text)
 	if err != nil || from == to || to-from == 24*60 {
 		return at
 	}
@@ -114,15 +114,15 @@
 	return next.UnixMicro()
 }
 
-func (r Rule) fits(k *Record, now int64) bool {
-	if r.Lane != "" && r.Lane != k.Lane || r.End == "pushed_back" && !k.PushedBack || r.End == "failed" && k.PushedBack ||
-		r.MayHaveRun == "yes" && !k.MayHaveRun() || r.MayHaveRun == "no" && k.MayHaveRun() || now-k.KeptAt < int64(r.Older) {
+func (r Rule) matches(k *Record, now int64) bool {
+	if r.Class != "" && r.Class != k.Class || r.Outcome == "pushed_back" && !k.Rejected || r.Outcome == "failed" && k.Rejected ||
+		r.MayHaveRun == "yes" && !k.MayHaveRun() || r.MayHaveRun == "no" && k.MayHaveRun() || now-k.StoredAt < int64(r.MinAge) {
 		return false
 	}
-	if len(r.Destination) == 0 {
+	if len(r.Destinations) == 0 {
 		return true
 	}
-	for _, d := range r.Destination {
+	for _, d := range r.Destinations {
 		if d == k.Dst {
 			return true
 		}
@@ -130,111 +130,111 @@
 	return false
 }
 
-// Lane is what a lane allows for a message that may have run.
-type Lane struct {
+// Class is what a traffic class allows for a message that may have run.
+type Class struct {
 	Known     bool
 	Retriable bool
 	Keyed     bool
-	Window    int64 // µs for which a key is remembered
+	Window    int64 // µs for which receivers remember a key
 }
 
-// keyMargin is how much sooner a key counts as forgotten, for the way there: a second, for the clocks of two starts of a
-// sender may differ.
+// keyMargin is how much earlier than its window a key is treated as forgotten. One second covers the way to the receiver and the
+// difference between the clocks of two starts of a sender.
 const keyMargin = int64(1_000_000)
 
-// Verdict is what becomes of a record: Act now, or at a later time At, or not at all (an empty Act and At of 0).
-type Verdict struct {
-	Act      Act
-	At       int64 // µs; not before
-	Rate     float64
-	Sick     bool
-	Deadline int64 // µs, of what is sent again
-	Why      string
+// Decision is what to do with a record: Action, not before NotBefore. The zero value means that nothing is to be done.
+type Decision struct {
+	Action       Action
+	NotBefore    int64 // µs
+	Rate         float64
+	IgnoreHealth bool
+	Deadline     int64 // µs, of the resent message
+	Reason       string
 }
 
-// never is a time that does not come.
-const never = int64(1) << 62
+// farFuture is later than any real time.
+const farFuture = int64(1) << 62
 
-// MaySend tells whether a message may be sent again without a person's word, and until when. What may have run is not sent
-// again where the lane forbids a repeat; where the lane is keyed, only within the window of its key.
-func MaySend(k *Record, lane Lane) (until int64, why string) {
+// ResendableUntil returns the time until which a message may be resent without an operator's approval. A message that may have run is not
+// resent if its class forbids repeats; in a keyed class it is resent only within the key's window.
+func ResendableUntil(k *Record, class Class) (until int64, reason string) {
 	switch {
-	case !lane.Known:
+	case !class.Known:
 		return 0, "its lane is not known here"
-	case !k.MayHaveRun() || lane.Retriable || k.Cleared:
-		return never, ""
-	case !lane.Keyed || k.Key == "":
+	case !k.MayHaveRun() || class.Retriable || k.ResendApproved:
+		return farFuture, ""
+	case !class.Keyed || k.Key == "":
 		return 0, "it may have run, and its lane allows no repeat"
 	}
-	return k.FirstRun + lane.Window - keyMargin, "it may have run, and its key is forgotten by now"
+	return k.FirstRunAt + class.Window - keyMargin, "it may have run, and its key is forgotten by now"
 }
 
-// Decide says what becomes of a record at a time. A clock that was set back makes ages small, and so only delays.
-func Decide(k *Record, rules []Rule, lane Lane, now int64) Verdict {
+// Decide returns the decision about a record. If the clock was set back, ages are too low and actions are only delayed.
+func Decide(k *Record, rules []Rule, class Class, now int64) Decision {
 	if k.State != Waiting {
-		return Verdict{}
+		return Decision{}
 	}
 	for i, r := range rules {
-		if !r.fits(k, now) {
+		if !r.matches(k, now) {
 			continue
 		}
 		name := fmt.Sprintf("rule %d", i+1)
-		at := k.KeptAt + int64(r.After)
-		switch r.Act {
+		at := k.StoredAt + int64(r.Delay)
+		switch r.Action {
 		case Hold:
-			return Verdict{Act: Hold, Why: name}
+			return Decision{Action: Hold, Reason: name}
 		case Drop:
-			return Verdict{Act: Drop, At: at, Why: name}
+			return Decision{Action: Drop, NotBefore: at, Reason: name}
 		}
-		if k.Generation >= r.Most {
-			return Verdict{Act: Hold, Why: fmt.Sprintf("%s: sent again %d times already", name, k.Generation)}
+		if k.Generation >= r.MaxResends {
+			return Decision{Action: Hold, Reason: fmt.Sprintf("%s: sent again %d times already", name, k.Generation)}
 		}
-		at = opens(r.Hours, max(at, now))
-		until, why := MaySend(k, lane)
+		at = nextOpening(r.Hours, max(at, now))
+		until, reason := ResendableUntil(k, class)
 		if at > until {
-			return Verdict{Act: Hold, Why: name + ": " + why}
+			return Decision{Action: Hold, Reason: name + ": " + reason}
 		}
-		return Verdict{Act: Send, At: at, Rate: r.Rate, Sick: r.Sick, Deadline: int64(r.Deadline), Why: name}
+		return Decision{Action: Resend, NotBefore: at, Rate: r.Rate, IgnoreHealth: r.IgnoreHealth, Deadline: int64(r.Deadline), Reason: name}
 	}
-	return Verdict{Act: Hold, Why: "no rule fits"}
+	return Decision{Action: Hold, Reason: "no rule fits"}
 }
 
-// Pace keeps what is sent again to each destination within a rate.
-type Pace struct {
-	next map[int64]int64 // by destination; emptied of those past by Tidy
+// RateLimiter limits the rate of resends per destination.
+type RateLimiter struct {
+	nextAllowed map[int64]int64 // by destination; Prune removes entries in the past
 }
 
-// Free tells whether another may go to a destination now, and takes its place if so.
-func (p *Pace) Free(dst int64, rate float64, now int64) bool {
-	if p.next == nil {
-		p.next = map[int64]int64{}
+// Allow reports whether a message may be resent to a destination now, and if so reserves the slot.
+func (p *RateLimiter) Allow(dst int64, rate float64, now int64) bool {
+	if p.nextAllowed == nil {
+		p.nextAllowed = map[int64]int64{}
 	}
-	at, gap := p.next[dst], int64(1e6/rate)
-	if at > now+gap { // the clock was set back
-		at = now + gap
+	at, interval := p.nextAllowed[dst], int64(1e6/rate)
+	if at > now+interval { // the clock was set back
+		at = now + interval
 	}
 	if rate <= 0 || now < at {
 		return false
 	}
-	p.next[dst] = now + gap
+	p.nextAllowed[dst] = now + interval
 	return true
 }
 
-// Ready tells whether one might be free, without taking its place. A time far ahead, from before a clock was set back, does
-// not count.
-func (p *Pace) Ready(dst, now int64) bool {
-	at := p.next[dst]
-	return at <= now || at > now+longestGap
+// WouldAllow reports whether Allow may succeed, without reserving a slot. It ignores times too far in the future, which come from before the
+// clock was set back.
+func (p *RateLimiter) WouldAllow(dst, now int64) bool {
+	at := p.nextAllowed[dst]
+	return at <= now || at > now+maxInterval
 }
 
-// longestGap is the gap of the slowest rate that is heeded so: one a day.
-const longestGap = int64(86_400_000_000)
+// maxInterval is the interval of the lowest rate that WouldAllow honors: one resend a day.
+const maxInterval = int64(86_400_000_000)
 
-// Tidy forgets destinations whose time has come.
-func (p *Pace) Tidy(now int64) {
-	for d, at := range p.next {
+// Prune removes destinations whose next allowed time has passed.
+func (p *RateLimiter) Prune(now int64) {
+	for d, at := range p.nextAllowed {
 		if at <= now {
-			delete(p.next, d)
+			delete(p.nextAllowed, d)
 		}
 	}
 }
--- a/internal/lab/draw/draw.go
+++ b/internal/lab/draw/draw.go
@@ -1,5 +1,5 @@
-// Package draw is the laboratory's chance. Each part has a stream of its own, named by what it is for, so that one part
-// that draws more or less does not shift what the others draw.
+// Package draw provides the laboratory's random numbers. Each component draws from its own named stream, so that a
+// component that draws more or fewer numbers does not change those of the others.
 package draw
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Stream gives the stream of one part of a run: seed of the run, name and number of the part.
+// Stream returns the random stream of one component, which the seed of the run and the component's name and number select.
 func Stream(seed uint64, name string, number int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed^xxhash.Sum64String(name), uint64(number)+0x9e3779b97f4a7c15))
 }
 
-// Shape names a distribution of times.
+// Shape is the family of a distribution.
 type Shape string
 
-// The shapes.
+// The supported families.
 const (
 	Fixed       Shape = "fixed"
 	Exponential Shape = "exponential"
@@ -27,82 +27,82 @@
 	Pareto      Shape = "pareto" // a heavy tail
 )
 
-// Times is a distribution of times with a mean in µs. Spread is the standard deviation over the mean, which lognormal and
-// pareto heed.
-type Times struct {
-	Shape  Shape
-	Mean   float64
-	Spread float64
+// Distribution is a distribution of durations with a mean in µs. CV is the coefficient of variation (standard deviation
+// divided by mean); only Lognormal and Pareto use it.
+type Distribution struct {
+	Shape Shape
+	Mean  float64
+	CV    float64
 }
 
-// Check tells what is wrong with a distribution.
-func (t Times) Check() error {
-	switch t.Shape {
+// Check returns an error if the shape is unknown or lacks the spread that it needs.
+func (d Distribution) Check() error {
+	switch d.Shape {
 	case Fixed, Exponential:
 	case Lognormal, Pareto:
-		if t.Spread <= 0 {
-			return fmt.Errorf("shape %q needs a spread above 0", t.Shape)
+		if d.CV <= 0 {
+			return fmt.Errorf("shape %q needs a spread above 0", d.Shape)
 		}
 	default:
-		return fmt.Errorf("no shape %q: fixed, exponential, lognormal, pareto", t.Shape)
+		return fmt.Errorf("no shape %q: fixed, exponential, lognormal, pareto", d.Shape)
 	}
 	return nil
 }
 
-// Draw gives one time in whole µs, at least one.
-func (t Times) Draw(r *rand.Rand) int64 {
-	v := t.Mean
-	switch t.Shape {
+// Draw returns a random duration in whole µs, at least 1.
+func (d Distribution) Draw(r *rand.Rand) int64 {
+	v := d.Mean
+	switch d.Shape {
 	case Exponential:
 		v *= r.ExpFloat64()
 	case Lognormal:
-		s2 := math.Log(1 + t.Spread*t.Spread)
+		s2 := math.Log(1 + d.CV*d.CV)
 		v *= math.Exp(math.Sqrt(s2)*r.NormFloat64() - s2/2)
-	case Pareto: // CV² = 1/(a(a-2)), so a = 1 + sqrt(1 + 1/CV²), always above 2
-		a := 1 + math.Sqrt(1+1/(t.Spread*t.Spread))
+	case Pareto: // CV² = 1/(a(a-2)), so a = 1 + sqrt(1 + 1/CV²), which is always above 2
+		a := 1 + math.Sqrt(1+1/(d.CV*d.CV))
 		v *= (a - 1) / a * math.Pow(1-r.Float64(), -1/a)
 	}
 	return max(1, int64(math.Round(v)))
 }
 
-// Around draws evenly within a share of a mean: from mean*(1-share) to mean*(1+share).
-func Around(r *rand.Rand, mean int64, share float64) int64 {
+// Uniform draws uniformly from mean*(1-share) to mean*(1+share), and never returns less than 0.
+func Uniform(r *rand.Rand, mean int64, share float64) int64 {
 	return max(0, int64(float64(mean)*(1+share*(2*r.Float64()-1))))
 }
 
-// Shares are odds over numbers from 0, for drawing one by its share.
-type Shares struct{ sums []float64 }
+// Discrete is a probability distribution over the integers from 0 to n-1.
+type Discrete struct{ cumulative []float64 }
 
-// Zipf gives shares that fall as 1/(rank^s); s of 0 makes them even.
-func Zipf(n int, s float64) Shares {
-	w := make([]float64, n)
-	for i := range w {
-		w[i] = math.Pow(float64(i+1), -s)
+// Zipf returns a distribution whose probabilities are proportional to 1/(rank^s); with s = 0 it is uniform.
+func Zipf(n int, s float64) Discrete {
+	weights := make([]float64, n)
+	for i := range weights {
+		weights[i] = math.Pow(float64(i+1), -s)
 	}
-	return Weighted(w)
+	return Weighted(weights)
 }
 
-// Weighted gives shares in step with weights.
-func Weighted(ws []float64) Shares {
-	sums, sum := make([]float64, len(ws)), 0.0
-	for i, w := range ws {
+// Weighted returns a distribution whose probabilities are proportional to the weights.
+func Weighted(weights []float64) Discrete {
+	cumulative, sum := make([]float64, len(weights)), 0.0
+	for i, w := range weights {
 		sum += w
-		sums[i] = sum
+		cumulative[i] = sum
 	}
-	return Shares{sums}
+	return Discrete{cumulative}
 }
 
-// Draw gives a number by its share.
-func (s Shares) Draw(r *rand.Rand) int {
-	x := r.Float64() * s.sums[len(s.sums)-1]
-	return min(sort.Search(len(s.sums), func(i int) bool { return s.sums[i] > x }), len(s.sums)-1)
+// Draw returns a random number of the distribution.
+func (d Discrete) Draw(r *rand.Rand) int {
+	x := r.Float64() * d.cumulative[len(d.cumulative)-1]
+	return min(sort.Search(len(d.cumulative), func(i int) bool { return d.cumulative[i] > x }), len(d.cumulative)-1)
 }
 
-// Share is one number's.
-func (s Shares) Share(i int) float64 {
-	before := 0.0
+// Probability returns the probability of number i.
+func (d Discrete) Probability(i int) float64 {
+	below := 0.0
 	if i > 0 {
-		before = s.sums[i-1]
+		below = d.cumulative[i-1]
 	}
-	return (s.sums[i] - before) / s.sums[len(s.sums)-1]
+	return (d.cumulative[i] - below) / d.cumulative[len(d.cumulative)-1]
 }
--- a/internal/lab/draw/draw_test.go
+++ b/internal/lab/draw/draw_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestTimesHaveTheirMeanAndSpread(t *testing.T) {
-	for _, d := range []Times{{Fixed, 1e6, 0}, {Exponential, 1e6, 1}, {Lognormal, 1e6, 0.8}, {Pareto, 1e6, 0.5}} {
+func TestDistributionsHaveTheirMeanAndCV(t *testing.T) {
+	for _, d := range []Distribution{{Fixed, 1e6, 0}, {Exponential, 1e6, 1}, {Lognormal, 1e6, 0.8}, {Pareto, 1e6, 0.5}} {
 		r := Stream(1, string(d.Shape), 0)
 		n, sum, sq := 400_000, 0.0, 0.0
 		for range n {
@@ -18,17 +18,17 @@
 		}
 		mean := sum / float64(n)
 		assert.InEpsilon(t, d.Mean, mean, 0.01, d.Shape)
-		if d.Spread > 0 {
-			assert.InEpsilon(t, d.Spread, math.Sqrt(sq/float64(n)-mean*mean)/mean, 0.1, d.Shape)
+		if d.CV > 0 {
+			assert.InEpsilon(t, d.CV, math.Sqrt(sq/float64(n)-mean*mean)/mean, 0.1, d.Shape)
 		}
 	}
-	assert.Error(t, Times{Shape: "wide"}.Check())
-	assert.Error(t, Times{Shape: Pareto}.Check())
+	assert.Error(t, Distribution{Shape: "wide"}.Check())
+	assert.Error(t, Distribution{Shape: Pareto}.Check())
 }
 
-func TestSharesAreDrawnInStepAndStreamsStandApart(t *testing.T) {
+func TestDiscreteFollowsItsWeightsAndStreamsAreIndependent(t *testing.T) {
 	z := Zipf(4, 1)
-	assert.InDelta(t, 0.48, z.Share(0), 1e-9)
+	assert.InDelta(t, 0.48, z.Probability(0), 1e-9)
 	r, got := Stream(7, "x", 0), [4]int{}
 	for range 100_000 {
 		got[z.Draw(r)]++
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment plays many days and says what they show: means with intervals, paired differences, the worst day that
-// can be found. Days are spread over the cores; what is said does not depend on how many there are.
+// Package experiment runs a scenario many times, with different seeds, policies and settings, and evaluates the results:
+// means with confidence intervals, paired differences between policies, and a search for the worst day. A day is one
+// simulated run. Days run in parallel; the results do not depend on the number of cores.
 package experiment
 
 import (
@@ -18,38 +19,38 @@
 	"ravenlink/internal/lab/world"
 )
 
-// confidence of all intervals.
-const confidence = 0.95
+// confidenceLevel applies to all intervals.
+const confidenceLevel = 0.95
 
-// Metric is a figure of a run.
+// Metric is a named figure of a run.
 type Metric struct {
 	Name string
 	Of   func(*world.Result) float64
 }
 
-// Metrics are those that tables show.
+// Metrics lists the figures that tables show, in their order.
 var Metrics = []Metric{
 	{"service", func(r *world.Result) float64 { return r.Service }},
 	{"worst 10 s", func(r *world.Result) float64 { return r.Worst }},
-	{"in time", func(r *world.Result) float64 { return over(r.InTime, r.Asked) }},
-	{"legs a message", func(r *world.Result) float64 { return r.PerOrder }},
-	{"refused a message", func(r *world.Result) float64 { return over(r.Outcomes["full"], r.Asked) }},
+	{"in time", func(r *world.Result) float64 { return ratio(r.InTime, r.Asked) }},
+	{"legs a message", func(r *world.Result) float64 { return r.LegsPerMessage }},
+	{"refused a message", func(r *world.Result) float64 { return ratio(r.Outcomes["full"], r.Asked) }},
 	{"waste", func(r *world.Result) float64 { return r.Waste }},
-	{"p50 ms", func(r *world.Result) float64 { return r.Answer.P50 }},
-	{"p99 ms", func(r *world.Result) float64 { return r.Answer.P99 }},
-	{"pushed over", func(r *world.Result) float64 { return float64(r.Fell) }},
+	{"p50 ms", func(r *world.Result) float64 { return r.DeliveryTimes.P50 }},
+	{"p99 ms", func(r *world.Result) float64 { return r.DeliveryTimes.P99 }},
+	{"pushed over", func(r *world.Result) float64 { return float64(r.Collapses) }},
 	{"rules broken", func(r *world.Result) float64 { return float64(r.Broken) }},
 }
 
-func over(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-// Find gives a metric by its name.
-func Find(name string) (Metric, error) {
+// FindMetric returns the metric with the given name.
+func FindMetric(name string) (Metric, error) {
 	for _, m := range Metrics {
 		if m.Name == name {
 			return m, nil
@@ -58,7 +59,7 @@
 	return Metric{}, fmt.Errorf("no figure %q", name)
 }
 
-// Estimate is a mean with its interval.
+// Estimate is a mean with its confidence interval and the number of samples.
 type Estimate struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
@@ -66,46 +67,47 @@
 	N    int     `json:"n"`
 }
 
-// Half is half the width of the interval.
-func (e Estimate) Half() float64 { return (e.High - e.Low) / 2 }
+// HalfWidth is half the width of the interval.
+func (e Estimate) HalfWidth() float64 { return (e.High - e.Low) / 2 }
 
-// Excludes tells whether a value lies outside the interval.
+// Excludes reports whether a value lies outside the interval.
 func (e Estimate) Excludes(v float64) bool { return e.N > 1 && (v < e.Low || v > e.High) }
 
-// Mean estimates the mean of draws, by Student's t. One draw has no interval: it is as wide as can be.
-func Mean(xs []float64) Estimate {
+// EstimateMean estimates the mean of samples; the interval is that of Student's t-distribution. With a single sample it is
+// infinitely wide.
+func EstimateMean(xs []float64) Estimate {
 	m, sd := stat.MeanStdDev(xs, nil)
 	if len(xs) < 2 {
 		return Estimate{m, math.Inf(-1), math.Inf(1), len(xs)}
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(xs) - 1)}.Quantile(1 - (1-confidence)/2)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(xs) - 1)}.Quantile(1 - (1-confidenceLevel)/2)
 	half := t * sd / math.Sqrt(float64(len(xs)))
 	return Estimate{m, m - half, m + half, len(xs)}
 }
 
-// Job is one day to play.
+// Job is one run to simulate.
 type Job struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string
 }
 
-// Play plays jobs over the cores and gives their results in the order of the jobs. done is told how many are finished
-// each time one is; it may be nil.
-func Play(ctx context.Context, jobs []Job, done func(int)) ([]*world.Result, error) {
+// RunJobs simulates the jobs in parallel and returns their results in the order of the jobs. Each time a job finishes, done
+// is called with the number of finished jobs; it may be nil, and is called concurrently.
+func RunJobs(ctx context.Context, jobs []Job, done func(int)) ([]*world.Result, error) {
 	results := make([]*world.Result, len(jobs))
 	var finished atomic.Int64
-	g, inner := errgroup.WithContext(ctx)
+	g, groupCtx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for i, j := range jobs {
-		if inner.Err() != nil {
+		if groupCtx.Err() != nil {
 			break
 		}
 		g.Go(func() error {
-			if inner.Err() != nil {
-				return inner.Err()
+			if groupCtx.Err() != nil {
+				return groupCtx.Err()
 			}
-			r, err := world.Play(j.Scenario, j.Seed, j.Policy, nil)
+			r, err := world.Run(j.Scenario, j.Seed, j.Policy, nil)
 			if err != nil {
 				return err
 			}
@@ -122,20 +124,20 @@
 	return results, ctx.Err()
 }
 
-// Axis is a setting and the values it takes.
+// Axis is the path of a setting and the values that a sweep gives it.
 type Axis struct {
 	Path   string   `json:"path"`
 	Values []string `json:"values"`
 }
 
-// Cell is one place of a grid: a value of each axis.
+// Cell holds the results for one combination of values, with one value for each axis.
 type Cell struct {
-	Values  []string            `json:"values"`
-	Figures map[string]Estimate `json:"figures"`
-	Rules   map[rules.Rule]int  `json:"rules,omitempty"`
+	Values     []string            `json:"values"`
+	Figures    map[string]Estimate `json:"figures"`
+	Violations map[rules.Rule]int  `json:"rules,omitempty"`
 }
 
-// Grid is what a sweep found.
+// Grid is the result of a sweep.
 type Grid struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
@@ -144,11 +146,11 @@
 	Cells    []Cell `json:"cells"`
 }
 
-// Sweep plays every place of a grid with the same seeds, 1 to seeds.
+// Sweep runs the scenario with every combination of the axes' values, each with the seeds 1 to seeds.
 func Sweep(ctx context.Context, s *scenario.Scenario, policy string, axes []Axis, seeds int, done func(int)) (*Grid, error) {
 	g := &Grid{Scenario: s.Name, Policy: policy, Axes: axes, Seeds: seeds}
 	var jobs []Job
-	for _, values := range places(axes) {
+	for _, values := range combinations(axes) {
 		c := s.Clone()
 		for i, v := range values {
 			if err := c.Set(axes[i].Path, v); err != nil {
@@ -160,89 +162,90 @@
 			jobs = append(jobs, Job{&c, uint64(seed + 1), policy})
 		}
 	}
-	rs, err := Play(ctx, jobs, done)
+	rs, err := RunJobs(ctx, jobs, done)
 	if err != nil {
 		return nil, err
 	}
 	for i := range g.Cells {
-		g.Cells[i].Figures, g.Cells[i].Rules = summarise(rs[i*seeds : (i+1)*seeds])
+		g.Cells[i].Figures, g.Cells[i].Violations = summarize(rs[i*seeds : (i+1)*seeds])
 	}
 	return g, nil
 }
 
-// places lists the grid's, the last axis running fastest.
-func places(axes []Axis) [][]string {
+// combinations returns all combinations of the axes' values; the last axis varies fastest.
+func combinations(axes []Axis) [][]string {
 	all := [][]string{nil}
 	for _, a := range axes {
-		var wider [][]string
-		for _, p := range all {
+		var extended [][]string
+		for _, prefix := range all {
 			for _, v := range a.Values {
-				wider = append(wider, append(append([]string(nil), p...), v))
+				extended = append(extended, append(append([]string(nil), prefix...), v))
 			}
 		}
-		all = wider
+		all = extended
 	}
 	return all
 }
 
-func summarise(rs []*world.Result) (map[string]Estimate, map[rules.Rule]int) {
-	figures, broken := map[string]Estimate{}, map[rules.Rule]int{}
+// summarize returns the estimate of every metric, and the number of violations of each rule over all runs.
+func summarize(rs []*world.Result) (map[string]Estimate, map[rules.Rule]int) {
+	figures, violations := map[string]Estimate{}, map[rules.Rule]int{}
 	for _, m := range Metrics {
 		xs := make([]float64, len(rs))
 		for i, r := range rs {
 			xs[i] = m.Of(r)
 		}
-		figures[m.Name] = Mean(xs)
+		figures[m.Name] = EstimateMean(xs)
 	}
 	for _, r := range rs {
 		for rule, n := range r.Rules {
-			broken[rule] += n
+			violations[rule] += n
 		}
 	}
-	return figures, broken
+	return figures, violations
 }
 
-// Difference is a paired one: the same seeds under both policies.
+// Difference compares a metric of two policies, paired by seed.
 type Difference struct {
-	Metric string   `json:"figure"`
-	A      Estimate `json:"a"`
-	B      Estimate `json:"b"`
-	BLessA Estimate `json:"b_less_a"`
+	Metric  string   `json:"figure"`
+	A       Estimate `json:"a"`
+	B       Estimate `json:"b"`
+	BMinusA Estimate `json:"b_less_a"`
 }
 
-// Verdict says in plain words what a difference shows.
+// Verdict states in words which policy has the higher value; a and b are the policies' names.
 func (d Difference) Verdict(a, b string) string {
 	switch {
-	case d.BLessA.N < 2:
+	case d.BMinusA.N < 2:
 		return "one seed shows nothing"
-	case d.BLessA.Mean == 0 && d.BLessA.High == 0:
+	case d.BMinusA.Mean == 0 && d.BMinusA.High == 0:
 		return "no difference at all"
-	case !d.BLessA.Excludes(0):
+	case !d.BMinusA.Excludes(0):
 		return "no difference seen"
-	case d.BLessA.Mean > 0:
+	case d.BMinusA.Mean > 0:
 		return b + " has more"
 	}
 	return a + " has more"
 }
 
-// Comparison is two policies on the same days.
+// Comparison is the result of two policies with the same seeds.
 type Comparison struct {
-	Scenario string             `json:"scenario"`
-	A        string             `json:"a"`
-	B        string             `json:"b"`
-	Seeds    int                `json:"seeds"`
-	Figures  []Difference       `json:"figures"`
-	RulesA   map[rules.Rule]int `json:"rules_a,omitempty"`
-	RulesB   map[rules.Rule]int `json:"rules_b,omitempty"`
+	Scenario    string             `json:"scenario"`
+	A           string             `json:"a"`
+	B           string             `json:"b"`
+	Seeds       int                `json:"seeds"`
+	Figures     []Difference       `json:"figures"`
+	ViolationsA map[rules.Rule]int `json:"rules_a,omitempty"`
+	ViolationsB map[rules.Rule]int `json:"rules_b,omitempty"`
 }
 
-// Compare plays two policies on seeds 1 to seeds.
+// Compare runs the scenario under two policies, both with the seeds 1 to seeds.
 func Compare(ctx context.Context, s *scenario.Scenario, a, b string, seeds int, done func(int)) (*Comparison, error) {
 	var jobs []Job
 	for seed := range seeds {
 		jobs = append(jobs, Job{s, uint64(seed + 1), a}, Job{s, uint64(seed + 1), b})
 	}
-	rs, err := Play(ctx, jobs, done)
+	rs, err := RunJobs(ctx, jobs, done)
 	if err != nil {
 		return nil, err
 	}
@@ -251,33 +254,33 @@
 		as, bs = append(as, rs[i]), append(bs, rs[i+1])
 	}
 	c := &Comparison{Scenario: s.Name, A: a, B: b, Seeds: seeds}
-	_, c.RulesA = summarise(as)
-	_, c.RulesB = summarise(bs)
+	_, c.ViolationsA = summarize(as)
+	_, c.ViolationsB = summarize(bs)
 	for _, m := range Metrics {
-		c.Figures = append(c.Figures, paired(m, as, bs))
+		c.Figures = append(c.Figures, pairedDifference(m, as, bs))
 	}
 	return c, nil
 }
 
-func paired(m Metric, as, bs []*world.Result) Difference {
+func pairedDifference(m Metric, as, bs []*world.Result) Difference {
 	xs, ys, ds := make([]float64, len(as)), make([]float64, len(as)), make([]float64, len(as))
 	for i := range as {
 		xs[i], ys[i] = m.Of(as[i]), m.Of(bs[i])
 		ds[i] = ys[i] - xs[i]
 	}
-	return Difference{m.Name, Mean(xs), Mean(ys), Mean(ds)}
+	return Difference{m.Name, EstimateMean(xs), EstimateMean(ys), EstimateMean(ds)}
 }
 
-// Row is one scenario in a table of policies.
+// Row holds the results of one scenario in a table of policies; the maps are keyed by policy.
 type Row struct {
-	Scenario string
-	Shows    string
-	Service  map[string]Estimate // by policy
-	Rules    map[string]map[rules.Rule]int
-	Versus   map[string]Estimate // module less that policy, paired by seed
+	Scenario    string
+	Description string
+	Service     map[string]Estimate // estimate of the service
+	Violations  map[string]map[rules.Rule]int
+	Versus      map[string]Estimate // service of the first policy (the module) minus that of this one, paired by seed
 }
 
-// Table plays every policy on every scenario.
+// Table runs every scenario under every policy, with the seeds 1 to seeds.
 func Table(ctx context.Context, ss []*scenario.Scenario, policies []string, seeds int, done func(int)) ([]Row, error) {
 	var jobs []Job
 	for _, s := range ss {
@@ -287,23 +290,23 @@
 			}
 		}
 	}
-	rs, err := Play(ctx, jobs, done)
+	rs, err := RunJobs(ctx, jobs, done)
 	if err != nil {
 		return nil, err
 	}
 	service := Metrics[0]
 	var rows []Row
 	for i, s := range ss {
-		row := Row{Scenario: s.Name, Shows: s.Shows, Service: map[string]Estimate{}, Rules: map[string]map[rules.Rule]int{},
+		row := Row{Scenario: s.Name, Description: s.Description, Service: map[string]Estimate{}, Violations: map[string]map[rules.Rule]int{},
 			Versus: map[string]Estimate{}}
-		of := func(j int) []*world.Result {
+		resultsOf := func(j int) []*world.Result {
 			at := (i*len(policies) + j) * seeds
 			return rs[at : at+seeds]
 		}
 		for j, p := range policies {
-			d := paired(service, of(j), of(0))
-			row.Service[p], row.Versus[p] = d.A, d.BLessA
-			_, row.Rules[p] = summarise(of(j))
+			d := pairedDifference(service, resultsOf(j), resultsOf(0))
+			row.Service[p], row.Versus[p] = d.A, d.BMinusA
+			_, row.Violations[p] = summarize(resultsOf(j))
 		}
 		rows = append(rows, row)
 	}
--- a/internal/lab/experiment/search.go
+++ b/internal/lab/experiment/search.go
@@ -15,36 +15,35 @@
 )
 
 const (
-	mostTroubles = 6         // of a day that is tried
-	generation   = 32        // days tried between two looks at what was worst
-	keptWorst    = 6         // of them from which the next come
-	freshShare   = 0.35      // of a generation's days drawn anew, so that it does not end in one corner
-	leastPart    = 1_000_000 // µs; no length is shrunk below this
+	maxFaults       = 6         // in a day that is tried
+	generationSize  = 32        // days simulated before the worst are selected again
+	survivors       = 6         // worst days from which the next generation is derived
+	newShare        = 0.35      // share of a generation that is drawn independently, so that the search does not get stuck in a local optimum
+	minShrunkLength = 1_000_000 // µs; shorter faults are not halved, and no day becomes shorter
 )
 
-// Goal is what a search looks for.
+// Goal defines what a search looks for.
 type Goal struct {
-	Rule  rules.Rule // any day that breaks it; empty for any rule
-	Loss  bool       // instead the day with least service
-	Least float64    // for Loss: the shrunk day's service stays within this of the worst found
+	Rule          rules.Rule // a day that violates this rule; empty for any rule
+	WorstService  bool       // instead, the day with the lowest service
+	ServiceMargin float64    // for WorstService: how much higher the service of the shrunk day may be than the lowest found
 }
 
-// Found is what a search came up with.
-type Found struct {
-	Day      scenario.Scenario
-	Result   *world.Result
-	Tried    int  // days
-	Shrunk   int  // further days, to make it small
-	Hit      bool // a rule was broken, or for Loss always
-	Troubles int  // of the day before it was shrunk
+// SearchResult is the day that a search found.
+type SearchResult struct {
+	Scenario           scenario.Scenario
+	Result             *world.Result
+	DaysTried          int
+	ShrinkRuns         int  // days simulated while shrinking
+	Hit                bool // a rule was violated; always true for WorstService
+	FaultsBeforeShrink int  // number of faults before shrinking
 }
 
-// kinds that a search may draw, with the sizes that make sense for them.
-var kinds = []struct {
-	kind       scenario.Word
-	low, high  float64
-	ofSenders  bool
-	ofNetworks bool
+// faultKinds lists the faults that a search may draw, with the range of their magnitudes.
+var faultKinds = []struct {
+	kind      scenario.Enum
+	low, high float64
+	ofSenders bool
 }{
 	{kind: "refuse"}, {kind: "silent"}, {kind: "hang"}, {kind: "pause"}, {kind: "slow", low: 2, high: 20},
 	{kind: "errors", low: .3, high: 1}, {kind: "shut"}, {kind: "reset", low: .1, high: 1}, {kind: "lost", low: .1, high: .6},
@@ -53,47 +52,48 @@
 	{kind: "lie", low: .3, high: 3}, {kind: "burst", low: 1.3, high: 3},
 }
 
-// Search varies the troubles of a scenario and looks for a day that breaks a rule, or loses most; then it makes that day
-// small. It stops after so many days or so long, whichever is first; the first bound gives the same answer on any machine.
+// Search varies the faults of a scenario until a day violates a rule, or to find the day with the lowest service, and then
+// shrinks that day. It stops after the given number of days or time, whichever comes first; a search that ends by the
+// number of days gives the same result on any machine.
 func Search(ctx context.Context, s *scenario.Scenario, policy string, goal Goal, days int, within time.Duration, seed uint64,
-	done func(int)) (*Found, error) {
-	began := time.Now()
+	done func(int)) (*SearchResult, error) {
+	start := time.Now()
 	r := draw.Stream(seed, "search", 0)
-	f := &Found{}
+	f := &SearchResult{}
 	var worst []candidate
-	for f.Tried < days && (within == 0 || time.Since(began) < within) && !f.Hit {
-		batch := make([]Job, 0, generation)
-		for i := range min(generation, days-f.Tried) {
+	for f.DaysTried < days && (within == 0 || time.Since(start) < within) && !f.Hit {
+		batch := make([]Job, 0, generationSize)
+		for i := range min(generationSize, days-f.DaysTried) {
 			day := s.Clone()
-			if len(worst) == 0 || r.Float64() < freshShare {
-				day.Troubles = drawTroubles(r, s)
+			if len(worst) == 0 || r.Float64() < newShare {
+				day.Faults = randomFaults(r, s)
 			} else {
-				day.Troubles = vary(r, s, worst[r.IntN(len(worst))].day.Troubles)
+				day.Faults = mutate(r, s, worst[r.IntN(len(worst))].day.Faults)
 			}
-			day.Name = fmt.Sprintf("%s-found-%d-%d", s.Name, seed, f.Tried+i+1)
+			day.Name = fmt.Sprintf("%s-found-%d-%d", s.Name, seed, f.DaysTried+i+1)
 			batch = append(batch, Job{&day, 1 + r.Uint64N(1000), policy})
 		}
-		rs, err := Play(ctx, batch, nil)
+		rs, err := RunJobs(ctx, batch, nil)
 		if err != nil {
 			return nil, err
 		}
 		for i, res := range rs {
 			worst = append(worst, candidate{batch[i].Scenario, res})
 		}
-		f.Tried += len(batch)
-		slices.SortStableFunc(worst, func(a, b candidate) int { return goal.order(a.result, b.result) })
-		worst = worst[:min(len(worst), keptWorst)]
-		f.Hit = !goal.Loss && goal.hit(worst[0].result)
+		f.DaysTried += len(batch)
+		slices.SortStableFunc(worst, func(a, b candidate) int { return goal.compare(a.result, b.result) })
+		worst = worst[:min(len(worst), survivors)]
+		f.Hit = !goal.WorstService && goal.matches(worst[0].result)
 		if done != nil {
-			done(f.Tried)
+			done(f.DaysTried)
 		}
 	}
 	if len(worst) == 0 {
 		return nil, errors.New("search: no day was tried")
 	}
-	f.Hit = f.Hit || goal.Loss
-	f.Day, f.Result = worst[0].day.Clone(), worst[0].result
-	f.Troubles = len(f.Day.Troubles)
+	f.Hit = f.Hit || goal.WorstService
+	f.Scenario, f.Result = worst[0].day.Clone(), worst[0].result
+	f.FaultsBeforeShrink = len(f.Scenario.Faults)
 	if !f.Hit {
 		return f, nil
 	}
@@ -105,17 +105,17 @@
 	result *world.Result
 }
 
-func (g Goal) hit(r *world.Result) bool {
+func (g Goal) matches(r *world.Result) bool {
 	if g.Rule != "" {
 		return r.Rules[g.Rule] > 0
 	}
 	return r.Broken > 0
 }
 
-// order puts days that break the rule first, then those that serve least.
-func (g Goal) order(a, b *world.Result) int {
-	if !g.Loss && g.hit(a) != g.hit(b) {
-		if g.hit(a) {
+// compare orders results that violate the rule first, then those with the lower service.
+func (g Goal) compare(a, b *world.Result) int {
+	if !g.WorstService && g.matches(a) != g.matches(b) {
+		if g.matches(a) {
 			return -1
 		}
 		return 1
@@ -129,26 +129,26 @@
 	return 0
 }
 
-func drawTroubles(r *rand.Rand, s *scenario.Scenario) (ts []scenario.Trouble) {
-	for range 1 + r.IntN(mostTroubles) {
-		ts = append(ts, drawTrouble(r, s))
+func randomFaults(r *rand.Rand, s *scenario.Scenario) (faults []scenario.Fault) {
+	for range 1 + r.IntN(maxFaults) {
+		faults = append(faults, randomFault(r, s))
 	}
-	return ts
+	return faults
 }
 
-func drawTrouble(r *rand.Rand, s *scenario.Scenario) scenario.Trouble {
-	k := kinds[r.IntN(len(kinds))]
+func randomFault(r *rand.Rand, s *scenario.Scenario) scenario.Fault {
+	k := faultKinds[r.IntN(len(faultKinds))]
 	length := float64(s.Length)
-	t := scenario.Trouble{Kind: k.kind, At: round(.05*length + .75*length*r.Float64()), For: round(length * (.02 + .25*r.Float64()*r.Float64()))}
+	f := scenario.Fault{Kind: k.kind, At: wholeMillis(.05*length + .75*length*r.Float64()), For: wholeMillis(length * (.02 + .25*r.Float64()*r.Float64()))}
 	if k.high > 0 {
-		t.Size = hundredths(k.low + (k.high-k.low)*r.Float64())
+		f.Magnitude = roundToHundredths(k.low + (k.high-k.low)*r.Float64())
 	}
 	if k.ofSenders {
-		t.Senders = hundredths(.2 + .8*r.Float64())
+		f.SenderShare = roundToHundredths(.2 + .8*r.Float64())
 	}
 	if k.kind == "kill" || k.kind == "roll" {
-		t.Down = round(1e6 + 8e6*r.Float64())
-		return t
+		f.Downtime = wholeMillis(1e6 + 8e6*r.Float64())
+		return f
 	}
 	all := 0
 	for _, x := range s.Kinds {
@@ -156,84 +156,85 @@
 	}
 	switch r.IntN(4) {
 	case 0:
-		t.Destination = []int{1 + r.IntN(min(all, 5))}
+		f.Destinations = []int{1 + r.IntN(min(all, 5))}
 	case 1:
-		t.OfKind = s.Kinds[r.IntN(len(s.Kinds))].Name
+		f.OfKind = s.Kinds[r.IntN(len(s.Kinds))].Name
 	case 2:
-		t.Share = hundredths(.05 + .45*r.Float64())
+		f.DestinationShare = roundToHundredths(.05 + .45*r.Float64())
 	}
 	if r.IntN(4) == 0 {
-		t.Receiver = 1
+		f.MaxReceivers = 1
 	}
-	t.ProbesFine = r.IntN(6) == 0
-	return t
+	f.ProbesSucceed = r.IntN(6) == 0
+	return f
 }
 
-// round keeps times to whole milliseconds, so that a file found can be read.
-func round(us float64) scenario.Span { return scenario.Span(int64(us) / 1000 * 1000) }
+// wholeMillis truncates a time to whole milliseconds, which keeps the scenario file of a found day readable.
+func wholeMillis(us float64) scenario.Duration { return scenario.Duration(int64(us) / 1000 * 1000) }
 
-func hundredths(x float64) float64 { return float64(int(x*100+.5)) / 100 }
+func roundToHundredths(x float64) float64 { return float64(int(x*100+.5)) / 100 }
 
-// vary changes one or two things of a day.
-func vary(r *rand.Rand, s *scenario.Scenario, from []scenario.Trouble) []scenario.Trouble {
-	ts := slices.Clone(from)
+// mutate applies one or two random changes to the faults of a day.
+func mutate(r *rand.Rand, s *scenario.Scenario, from []scenario.Fault) []scenario.Fault {
+	faults := slices.Clone(from)
 	for range 1 + r.IntN(2) {
-		switch i := r.IntN(max(1, len(ts))); r.IntN(6) {
+		switch i := r.IntN(max(1, len(faults))); r.IntN(6) {
 		case 0:
-			if len(ts) < mostTroubles {
-				ts = append(ts, drawTrouble(r, s))
+			if len(faults) < maxFaults {
+				faults = append(faults, randomFault(r, s))
 			}
 		case 1:
-			if len(ts) > 1 {
-				ts = slices.Delete(ts, i, i+1)
+			if len(faults) > 1 {
+				faults = slices.Delete(faults, i, i+1)
 			}
 		case 2:
-			ts[i] = drawTrouble(r, s)
+			faults[i] = randomFault(r, s)
 		case 3:
-			ts[i].At = min(round(float64(ts[i].At)*(.6+.8*r.Float64())), s.Length*9/10)
+			faults[i].At = min(wholeMillis(float64(faults[i].At)*(.6+.8*r.Float64())), s.Length*9/10)
 		case 4:
-			ts[i].For = max(round(float64(ts[i].For)*(.4+1.4*r.Float64())), 100_000)
-		case 5: // two at once find more than two apart
-			j := r.IntN(len(ts))
-			ts[i].At, ts[i].Destination, ts[i].OfKind, ts[i].Share = ts[j].At, ts[j].Destination, ts[j].OfKind, ts[j].Share
+			faults[i].For = max(wholeMillis(float64(faults[i].For)*(.4+1.4*r.Float64())), 100_000)
+		case 5: // simultaneous faults at the same destinations reveal more than separate ones
+			j := r.IntN(len(faults))
+			faults[i].At, faults[i].Destinations, faults[i].OfKind, faults[i].DestinationShare = faults[j].At, faults[j].Destinations, faults[j].OfKind, faults[j].DestinationShare
 		}
 	}
-	return ts
+	return faults
 }
 
-// shrink makes a day small while it still shows what was found: fewer troubles, shorter ones, a shorter day, plainer places.
-func (f *Found) shrink(ctx context.Context, goal Goal, policy string) error {
-	bad := f.Result.Service + goal.Least
-	shows := func(day scenario.Scenario) (bool, error) {
+// shrink minimizes a day that still reproduces the finding: it removes and shortens faults, shortens the day and simplifies
+// where the faults strike, until no such step keeps the finding.
+func (f *SearchResult) shrink(ctx context.Context, goal Goal, policy string) error {
+	maxService := f.Result.Service + goal.ServiceMargin
+	reproduces := func(day scenario.Scenario) (bool, error) {
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
-		f.Shrunk++
-		r, err := world.Play(&day, f.Result.Seed, policy, nil)
+		f.ShrinkRuns++
+		r, err := world.Run(&day, f.Result.Seed, policy, nil)
 		if err != nil {
 			return false, err
 		}
-		if goal.Loss && r.Service > bad || !goal.Loss && !goal.hit(r) {
+		if goal.WorstService && r.Service > maxService || !goal.WorstService && !goal.matches(r) {
 			return false, nil
 		}
-		f.Day, f.Result = day, r
+		f.Scenario, f.Result = day, r
 		return true, nil
 	}
-	for again := true; again; {
-		again = false
-		for _, step := range []func(scenario.Scenario) []scenario.Scenario{fewer, shorterDay, shorter, plainer} {
+	for progress := true; progress; {
+		progress = false
+		for _, step := range []func(scenario.Scenario) []scenario.Scenario{withoutOneFault, withShorterRun, withShorterFault, withSimplerFault} {
 			for i := 0; ; i++ {
-				options := step(f.Day)
+				options := step(f.Scenario)
 				if i >= len(options) {
 					break
 				}
-				ok, err := shows(options[i])
+				ok, err := reproduces(options[i])
 				if err != nil {
 					return err
 				}
 				if ok {
-					again = true
-					i-- // the list is of the smaller day now
+					progress = true
+					i-- // the next options are those of the smaller day
 				}
 			}
 		}
@@ -241,24 +242,24 @@
 	return nil
 }
 
-// fewer leaves one trouble out.
-func fewer(s scenario.Scenario) (days []scenario.Scenario) {
-	for i := range s.Troubles {
+// withoutOneFault returns the days that lack one of the faults.
+func withoutOneFault(s scenario.Scenario) (days []scenario.Scenario) {
+	for i := range s.Faults {
 		d := s.Clone()
-		d.Troubles = slices.Delete(d.Troubles, i, i+1)
+		d.Faults = slices.Delete(d.Faults, i, i+1)
 		days = append(days, d)
 	}
 	return days
 }
 
-// shorterDay ends the day sooner.
-func shorterDay(s scenario.Scenario) (days []scenario.Scenario) {
-	last := scenario.Span(0)
-	for _, t := range s.Troubles {
-		last = max(last, t.At)
+// withShorterRun returns days that end earlier, but not before the last fault begins.
+func withShorterRun(s scenario.Scenario) (days []scenario.Scenario) {
+	last := scenario.Duration(0)
+	for _, f := range s.Faults {
+		last = max(last, f.At)
 	}
-	for _, length := range []scenario.Span{s.Length / 2, s.Length * 3 / 4} {
-		if d := s.Clone(); length > last && length >= leastPart {
+	for _, length := range []scenario.Duration{s.Length / 2, s.Length * 3 / 4} {
+		if d := s.Clone(); length > last && length >= minShrunkLength {
 			d.Length = length / 1000 * 1000
 			days = append(days, d)
 		}
@@ -266,38 +267,38 @@
 	return days
 }
 
-// shorter halves one trouble's time.
-func shorter(s scenario.Scenario) (days []scenario.Scenario) {
-	for i, t := range s.Troubles {
-		if t.For < leastPart {
+// withShorterFault returns the days with the duration of one fault halved.
+func withShorterFault(s scenario.Scenario) (days []scenario.Scenario) {
+	for i, f := range s.Faults {
+		if f.For < minShrunkLength {
 			continue
 		}
 		d := s.Clone()
-		d.Troubles[i].For = t.For / 2 / 1000 * 1000
+		d.Faults[i].For = f.For / 2 / 1000 * 1000
 		days = append(days, d)
 	}
 	return days
 }
 
-// plainer leaves out what a trouble need not say.
-func plainer(s scenario.Scenario) (days []scenario.Scenario) {
-	change := func(i int, f func(*scenario.Trouble)) {
+// withSimplerFault returns the days in which one fault lacks an option, affects one destination only or begins at a whole second.
+func withSimplerFault(s scenario.Scenario) (days []scenario.Scenario) {
+	change := func(i int, edit func(*scenario.Fault)) {
 		d := s.Clone()
-		f(&d.Troubles[i])
+		edit(&d.Faults[i])
 		days = append(days, d)
 	}
-	for i, t := range s.Troubles {
-		if t.ProbesFine {
-			change(i, func(t *scenario.Trouble) { t.ProbesFine = false })
+	for i, f := range s.Faults {
+		if f.ProbesSucceed {
+			change(i, func(f *scenario.Fault) { f.ProbesSucceed = false })
 		}
-		if t.Receiver > 0 {
-			change(i, func(t *scenario.Trouble) { t.Receiver = 0 })
+		if f.MaxReceivers > 0 {
+			change(i, func(f *scenario.Fault) { f.MaxReceivers = 0 })
 		}
-		if t.Share > 0 || t.OfKind != "" {
-			change(i, func(t *scenario.Trouble) { t.Share, t.OfKind, t.Destination = 0, "", []int{1} })
+		if f.DestinationShare > 0 || f.OfKind != "" {
+			change(i, func(f *scenario.Fault) { f.DestinationShare, f.OfKind, f.Destinations = 0, "", []int{1} })
 		}
-		if round := t.At / 1e6 * 1e6; round != t.At && round > 0 {
-			change(i, func(t *scenario.Trouble) { t.At = round })
+		if whole := f.At / 1e6 * 1e6; whole != f.At && whole > 0 {
+			change(i, func(f *scenario.Fault) { f.At = whole })
 		}
 	}
 	return days
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,70 +1,72 @@
-// Package explore tries orders of events on a world of decision modules: every one up to a depth, or long ones drawn from a seed.
+// Package explore model-checks decision modules: it tries all orders of events up to a depth, or long random ones.
 package explore
 
 import "math/rand/v2"
 
-// World is what is explored.
-type World[W any] interface {
-	Events() []string // that can happen now, in a stated order
-	Do(event string)
-	Copied() W     // two futures of it do not touch
-	Print() uint64 // two worlds that print alike go on alike
-	Wrong() string // what must never be, or nothing
-	End() string   // the same after all links are whole again and have had their time; the world is spent
+// State is a state of the system under test.
+type State[S any] interface {
+	Events() []string     // events that can happen next, in a deterministic order
+	Apply(event string)   // changes the state by an event
+	Clone() S             // returns a copy that shares nothing mutable
+	Fingerprint() uint64  // states with equal fingerprints continue alike
+	Violation() string    // describes a violated invariant, or is empty
+	HealAndCheck() string // repairs all links, lets the system settle and checks again; the state is unusable afterwards
 }
 
-// Explorer remembers the states that it has seen.
-type Explorer[W World[W]] struct {
-	Ends int // one state in so many is brought to its end
-	Way  []string
-	deep map[uint64]int // by print: how deep it was looked into
+// Explorer searches all orders of events and remembers the states that it has visited.
+type Explorer[S State[S]] struct {
+	HealEvery int            // HealAndCheck is called for one in HealEvery new states
+	Path      []string       // events that led to the violation
+	explored  map[uint64]int // by fingerprint: the depth to which the state was explored
 }
 
-// States is how many different ones were seen.
-func (x *Explorer[W]) States() int { return len(x.deep) }
+// States returns the number of distinct states visited.
+func (x *Explorer[S]) States() int { return len(x.explored) }
 
-// All orders of events up to a depth. It stops at the first fault and names it; Way is how it came about.
-func (x *Explorer[W]) All(w W, depth int) string {
-	if x.deep == nil {
-		x.deep = map[uint64]int{}
+// Search tries all orders of events up to a depth. It returns the first violation found, or nothing; Path then holds the
+// events that led to it.
+func (x *Explorer[S]) Search(state S, depth int) string {
+	if x.explored == nil {
+		x.explored = map[uint64]int{}
 	}
-	for _, e := range w.Events() {
-		next := w.Copied()
-		next.Do(e)
-		p := next.Print()
-		deep, known := x.deep[p]
-		if known && deep >= depth {
+	for _, e := range state.Events() {
+		next := state.Clone()
+		next.Apply(e)
+		fingerprint := next.Fingerprint()
+		explored, known := x.explored[fingerprint]
+		if known && explored >= depth {
 			continue
 		}
-		x.deep[p] = depth
-		x.Way = append(x.Way, e)
-		bad := next.Wrong()
-		if bad == "" && !known && p%uint64(x.Ends) == 0 {
-			bad = next.Copied().End()
+		x.explored[fingerprint] = depth
+		x.Path = append(x.Path, e)
+		violation := next.Violation()
+		if violation == "" && !known && fingerprint%uint64(x.HealEvery) == 0 {
+			violation = next.Clone().HealAndCheck()
 		}
-		if bad == "" && depth > 1 {
-			bad = x.All(next, depth-1)
+		if violation == "" && depth > 1 {
+			violation = x.Search(next, depth-1)
 		}
-		if bad != "" {
-			return bad
+		if violation != "" {
+			return violation
 		}
-		x.Way = x.Way[:len(x.Way)-1]
+		x.Path = x.Path[:len(x.Path)-1]
 	}
 	return ""
 }
 
-// Walk is one long way, drawn, and its end.
-func Walk[W World[W]](w W, seed uint64, steps int) string {
+// RandomWalk applies events drawn at random, up to the number of steps, and then calls HealAndCheck. It returns the first
+// violation found, or nothing.
+func RandomWalk[S State[S]](state S, seed uint64, steps int) string {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for range steps {
-		es := w.Events()
-		if len(es) == 0 {
+		events := state.Events()
+		if len(events) == 0 {
 			break
 		}
-		w.Do(es[rng.IntN(len(es))])
-		if bad := w.Wrong(); bad != "" {
-			return bad
+		state.Apply(events[rng.IntN(len(events))])
+		if violation := state.Violation(); violation != "" {
+			return violation
 		}
 	}
-	return w.End()
+	return state.HealAndCheck()
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	sizes = flag.String("fleet.sizes", "", "measure at these numbers of senders, with commas")
-	seeds = flag.Int("fleet.seeds", 3, "runs of each")
-	into  = flag.String("fleet.into", "", "folder for the table and the plots")
+	sizes = flag.String("fleet.sizes", "", "measure with these numbers of senders, separated by commas")
+	seeds = flag.Int("fleet.seeds", 3, "runs per scenario and policy")
+	into  = flag.String("fleet.into", "", "directory for the table and the plots")
 )
 
 func TestMeasure(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-func named(n int, name string) Scenario {
+func testScenario(n int, name string) Scenario {
 	for _, s := range Scenarios(n, 5) {
 		if s.Name == name {
 			s.Length = 20 * second
@@ -49,29 +49,29 @@
 }
 
 func TestLeasesUseTheLimitAndKeepToIt(t *testing.T) {
-	f, err := Run(named(12, "busy"), "leases")
+	f, err := Run(testScenario(12, "busy"), "leases")
 	require.NoError(t, err)
-	off, err := Run(named(12, "busy"), "off")
+	off, err := Run(testScenario(12, "busy"), "off")
 	require.NoError(t, err)
-	best, err := Run(named(12, "busy"), "all-knowing")
+	best, err := Run(testScenario(12, "busy"), "all-knowing")
 	require.NoError(t, err)
 	assert.Less(t, f.Unused, 0.05)
-	assert.Less(t, f.OverP99, 0.15)
+	assert.Less(t, f.OvershootP99, 0.15)
 	assert.Greater(t, f.Value, off.Value)
 	assert.GreaterOrEqual(t, best.Value, f.Value)
-	again, err := Run(named(12, "busy"), "leases")
+	again, err := Run(testScenario(12, "busy"), "leases")
 	require.NoError(t, err)
 	assert.Equal(t, f, again, "the same seed gives the same run")
 }
 
-// greedy calls whenever something waits: figures have to show it.
-type greedy struct{ quiet }
+// greedy calls whenever a message waits, which the figures have to show.
+type greedy struct{ noop }
 
-func (greedy) begin(*World)             {}
-func (greedy) may(int64, int, int) bool { return true }
+func (greedy) start(*World)               {}
+func (greedy) allow(int64, int, int) bool { return true }
 
 func TestFiguresShowAFleetThatKeepsNoLimit(t *testing.T) {
-	f := run(named(12, "busy"), greedy{}, "greedy")
-	assert.Greater(t, f.OverP99, 0.15)
+	f := run(testScenario(12, "busy"), greedy{}, "greedy")
+	assert.Greater(t, f.OvershootP99, 0.15)
 	assert.Greater(t, f.Refused, 0.3)
 }
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -14,13 +14,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Mean is the mean of several runs' figures, and how far their values lie apart.
+// Mean holds the mean figures of several runs; PeakOvershoot and StarvationMax are maxima instead.
 type Mean struct {
 	Figures
-	Spread float64 // greatest value less the least
+	Spread float64 // difference between the highest and the lowest Value of the runs
 }
 
-// Measure makes all scenarios with all policies at some numbers of senders, so many seeds each, and gives the means.
+// Measure runs all scenarios under all policies with the given numbers of senders and of seeds, and returns the means.
 func Measure(sizes []int, seeds, workers int) ([]Mean, error) {
 	var all []*[]Figures
 	var g errgroup.Group
@@ -51,64 +51,64 @@
 
 func mean(fs []Figures) Mean {
 	m := Mean{Figures: fs[0]}
-	least, most := fs[0].Value, fs[0].Value
+	lowest, highest := fs[0].Value, fs[0].Value
 	for _, f := range fs[1:] {
-		least, most = min(least, f.Value), max(most, f.Value)
+		lowest, highest = min(lowest, f.Value), max(highest, f.Value)
 		m.Value += f.Value
-		m.OverP99 += f.OverP99
+		m.OvershootP99 += f.OvershootP99
 		m.Unused += f.Unused
 		m.Refused += f.Refused
-		m.StarveP99 += f.StarveP99
-		m.Bytes += f.Bytes
-		m.Over = max(m.Over, f.Over)
-		m.StarveMost = max(m.StarveMost, f.StarveMost)
+		m.StarvationP99 += f.StarvationP99
+		m.BytesPerSec += f.BytesPerSec
+		m.PeakOvershoot = max(m.PeakOvershoot, f.PeakOvershoot)
+		m.StarvationMax = max(m.StarvationMax, f.StarvationMax)
 	}
-	for _, x := range []*float64{&m.Value, &m.OverP99, &m.Unused, &m.Refused, &m.StarveP99, &m.Bytes} {
+	for _, x := range []*float64{&m.Value, &m.OvershootP99, &m.Unused, &m.Refused, &m.StarvationP99, &m.BytesPerSec} {
 		*x /= float64(len(fs))
 	}
-	m.Spread = most - least
+	m.Spread = highest - lowest
 	return m
 }
 
-// Markdown is a table of measured figures.
+// Markdown formats the means as a Markdown table.
 func Markdown(ms []Mean) string {
 	var b bytes.Buffer
 	b.WriteString("| senders | scenario | design | value | worst second over | 99th | unused | refused | starving, 99th (s) | bytes/s a sender |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, m := range ms {
 		fmt.Fprintf(&b, "| %d | %s | %s | %.3f ± %.3f | %.0f%% | %.0f%% | %.1f%% | %.1f%% | %.2f | %.0f |\n", m.Senders, m.Scenario, m.Policy,
-			m.Value, m.Spread/2, 100*max(0, m.Over), 100*max(0, m.OverP99), 100*m.Unused, 100*m.Refused, m.StarveP99, m.Bytes)
+			m.Value, m.Spread/2, 100*max(0, m.PeakOvershoot), 100*max(0, m.OvershootP99), 100*m.Unused, 100*m.Refused, m.StarvationP99, m.BytesPerSec)
 	}
 	return b.String()
 }
 
-// Plot draws value and unused limit of each policy over the number of senders, for one scenario, as SVG.
+// Plot draws the value and the unused limit of each policy over the number of senders for one scenario, as SVG.
 func Plot(ms []Mean, scenario string) ([]byte, error) {
-	sizes := map[int]int{}
+	positions := map[int]int{} // on the axis, by number of senders
 	for _, m := range ms {
-		sizes[m.Senders] = 0
+		positions[m.Senders] = 0
 	}
-	var order []int
-	for n := range sizes {
-		order = append(order, n)
+	var sizes []int
+	for n := range positions {
+		sizes = append(sizes, n)
 	}
-	sort.Ints(order)
-	names := make([]string, len(order))
-	for i, n := range order {
-		sizes[n], names[i] = i, fmt.Sprint(n)
+	sort.Ints(sizes)
+	names := make([]string, len(sizes))
+	for i, n := range sizes {
+		positions[n], names[i] = i, fmt.Sprint(n)
 	}
 	c := vgsvg.New(24*vg.Centimeter, 9*vg.Centimeter)
-	whole := draw.New(c)
-	for i, what := range []string{"value", "unused part of the limit"} {
+	canvas := draw.New(c)
+	for i, label := range []string{"value", "unused part of the limit"} {
 		p := plot.New()
-		p.Title.Text, p.X.Label.Text, p.Y.Label.Text = scenario+" (virtual)", "senders", what
+		p.Title.Text, p.X.Label.Text, p.Y.Label.Text = scenario+" (virtual)", "senders", label
 		p.NominalX(names...)
 		p.Add(plotter.NewGrid())
 		for k, name := range Policies {
 			var xys plotter.XYs
 			for _, m := range ms {
 				if m.Scenario == scenario && m.Policy == name {
-					xys = append(xys, plotter.XY{X: float64(sizes[m.Senders]), Y: []float64{m.Value, m.Unused}[i]})
+					xys = append(xys, plotter.XY{X: float64(positions[m.Senders]), Y: []float64{m.Value, m.Unused}[i]})
 				}
 			}
 			l, pts, err := plotter.NewLinePoints(xys)
@@ -121,8 +121,8 @@
 		}
 		p.Y.Min, p.Y.Max = 0, 1
 		p.Legend.Top = i == 1
-		half := (whole.Max.X - whole.Min.X) / 2
-		p.Draw(draw.Crop(whole, vg.Length(i)*half, vg.Length(i-1)*half, 0, 0))
+		half := (canvas.Max.X - canvas.Min.X) / 2
+		p.Draw(draw.Crop(canvas, vg.Length(i)*half, vg.Length(i-1)*half, 0, 0))
 	}
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
--- a/internal/lab/fleet/world.go
+++ b/internal/lab/fleet/world.go
@@ -13,68 +13,72 @@
 	"ravenlink/internal/members"
 )
 
-// policy decides for all senders of a run which calls may go. It tells others through the world's links only, but for the all-knowing one.
+// policy decides for all senders of a run which calls they may make. Except for the all-knowing one, a policy passes
+// information between senders only through World.send.
 type policy interface {
-	begin(w *World)
-	turn(now int64, i int)                            // a sender's timers
-	heard(now int64, from, to int, m any)             // a letter came
-	need(now int64, i, d int, perSec float64, n int)  // what a sender wants
-	may(now int64, i, d int) bool                     // right before a call; takes it
-	told(now int64, i, d int, ok bool, limit float64) // the outcome of a call, with the limit that it tells
-	viewed(now int64, i int, v members.View)
-	restarted(now int64, i int)
+	start(w *World)
+	tick(now int64, i int)                                // called periodically for each sender
+	receive(now int64, from, to int, body any)            // a peer message arrived
+	setDemand(now int64, i, d int, perSec float64, n int) // a sender's traffic and the messages that wait at it
+	allow(now int64, i, d int) bool                       // called right before a call; uses up the permission that it grants
+	callDone(now int64, i, d int, ok bool, limit float64) // the outcome of a call, with the limit that the answer reports
+	setView(now int64, i int, v members.View)
+	restart(now int64, i int)
 }
 
-// World is one run.
+// World is the state of one run.
 type World struct {
 	Scenario
-	l       *loop.Loop
-	p       policy
-	r       *rand.Rand
-	links   *rand.Rand
-	names   []string
-	ss      []*sender
-	ds      []*destination
-	letters map[uint64]letter
-	next    uint64
-	bytes   int
-	f       tally
+	events      *loop.Loop
+	policy      policy
+	trafficRand *rand.Rand
+	linkRand    *rand.Rand
+	names       []string
+	senders     []*sender
+	dsts        []*destination
+	messages    map[uint64]peerMessage
+	lastMessage uint64
+	bytesSent   int
+	tally       tally
 }
 
-type letter struct {
+// peerMessage is a message on its way between two senders.
+type peerMessage struct {
 	from, to int
-	m        any
+	body     any
 }
 
 type sender struct {
-	queues []queue
-	dead   bool
-	still  bool
-	life   uint64
+	queues      []queue
+	dead        bool
+	paused      bool
+	incarnation uint64
 }
 
-// queue of a destination at a sender: arrival times, oldest first; those refused come back with a time before which they wait.
+// queue holds the messages of a sender for one destination, oldest first. Refused messages stay in it.
 type queue struct {
-	held    []held
-	since   int64 // nothing was called though something waited
-	free    int64 // after a refusal the route pauses until then, as the design has it
-	rate    float64
-	arrived float64
+	messages     []queuedMessage
+	waitingSince int64   // when a message first was due after the latest call; 0 if none was since then
+	resumeAt     int64   // after a refusal all calls to the destination pause until then, as the design of senders specifies
+	rate         float64 // mean arrivals per second, smoothed
+	arrived      float64 // since the last tick
 }
 
-type held struct{ came, from int64 }
+// queuedMessage is a message in a queue; it is not sent before notBefore.
+type queuedMessage struct{ arrivedAt, notBefore int64 }
 
+// destination is a destination with its token bucket.
 type destination struct {
-	limit  float64
-	level  float64
-	at     int64
-	parts  draw.Shares
-	calls  []int // in each step
-	taken  int
-	wanted int
+	limit    float64
+	tokens   float64
+	filledAt int64
+	shares   draw.Discrete // of the senders in its traffic
+	calls    []int         // in each step
+	accepted int           // calls, while figures are measured
+	wanted   int           // messages that arrived, likewise
 }
 
-// Run makes a run with a policy by its name.
+// Run simulates a scenario under the policy with the given name.
 func Run(s Scenario, policyName string) (Figures, error) {
 	p, err := newPolicy(policyName)
 	if err != nil {
@@ -84,190 +88,192 @@
 }
 
 func run(s Scenario, p policy, name string) Figures {
-	w := &World{Scenario: s, p: p, l: loop.New(), r: draw.Stream(s.Seed, "traffic", s.Senders), links: draw.Stream(s.Seed, "links", 0), letters: map[uint64]letter{}}
+	w := &World{Scenario: s, policy: p, events: loop.New(), trafficRand: draw.Stream(s.Seed, "traffic", s.Senders), linkRand: draw.Stream(s.Seed, "links", 0), messages: map[uint64]peerMessage{}}
 	for i := range s.Senders {
 		w.names = append(w.names, fmt.Sprintf("s%04d", i))
-		w.ss = append(w.ss, &sender{queues: make([]queue, s.Dsts), life: 1})
+		w.senders = append(w.senders, &sender{queues: make([]queue, s.Dsts), incarnation: 1})
 	}
 	for range s.Dsts {
-		w.ds = append(w.ds, &destination{limit: s.Limit, level: s.Limit * burst, at: w.l.Now()})
+		w.dsts = append(w.dsts, &destination{limit: s.Limit, tokens: s.Limit * burstSeconds, filledAt: w.events.Now()})
 	}
-	w.p.begin(w)
-	w.views()
-	w.parts()
-	for i := range w.ss {
-		w.l.At(loop.Origin+int64(i)*turn/int64(s.Senders), w, evTurn, uint64(i))
+	w.policy.start(w)
+	w.updateViews()
+	w.drawShares()
+	for i := range w.senders {
+		w.events.At(loop.Origin+int64(i)*tickInterval/int64(s.Senders), w, evTick, uint64(i))
 	}
 	for at := step; at <= s.Length; at += step {
-		w.l.At(loop.Origin+at, w, evStep, uint64(at))
+		w.events.At(loop.Origin+at, w, evStep, uint64(at))
 	}
 
-	w.l.Run(loop.Origin + s.Length)
+	w.events.Run(loop.Origin + s.Length)
 	return w.figures(name)
 }
 
 const (
-	evTurn uint8 = iota
+	evTick uint8 = iota
 	evStep
-	evLetter
+	evMessage
 )
 
-// Handle runs one event.
+// Handle processes one event.
 func (w *World) Handle(kind uint8, n uint64) {
-	now := w.l.Now()
+	now := w.events.Now()
 	switch kind {
-	case evTurn:
-		w.l.At(now+turn, w, evTurn, n)
-		if s := w.ss[n]; s.dead || s.still {
+	case evTick:
+		w.events.At(now+tickInterval, w, evTick, n)
+		if s := w.senders[n]; s.dead || s.paused {
 			return
 		}
-		w.tell(now, int(n))
-		w.p.turn(now, int(n))
-	case evLetter:
-		l := w.letters[n]
-		delete(w.letters, n)
-		if s := w.ss[l.to]; !s.dead && !s.still {
-			w.p.heard(now, l.from, l.to, l.m)
+		w.reportDemand(now, int(n))
+		w.policy.tick(now, int(n))
+	case evMessage:
+		m := w.messages[n]
+		delete(w.messages, n)
+		if s := w.senders[m.to]; !s.dead && !s.paused {
+			w.policy.receive(now, m.from, m.to, m.body)
 		}
 	case evStep:
-		w.events(int64(n))
-		w.arrive(now)
-		w.call(now)
+		w.applyFaults(int64(n))
+		w.addArrivals(now)
+		w.makeCalls(now)
 	}
 }
 
-func within(at int64, span [2]int64) bool { return at >= span[0] && at < span[1] }
+func inSpan(at int64, span [2]int64) bool { return at >= span[0] && at < span[1] }
 
-// events begins and ends the troubles of the scenario, and what the views see of them.
-func (w *World) events(at int64) {
-	if w.Churn > 0 && at%w.Churn == 0 {
-		w.parts()
+// applyFaults begins and ends the faults of the scenario and updates the senders' views of each other after their delays.
+func (w *World) applyFaults(at int64) {
+	if w.ChurnInterval > 0 && at%w.ChurnInterval == 0 {
+		w.drawShares()
 	}
-	if at == w.Halved && at > 0 {
-		for _, d := range w.ds {
+	if at == w.HalveAt && at > 0 {
+		for _, d := range w.dsts {
 			d.limit /= 2
 		}
 	}
-	for i, s := range w.ss {
+	for i, s := range w.senders {
 		if i%10 != 0 {
 			continue
 		}
 		switch at {
-		case w.Dead[0]:
-			s.dead = w.Dead[1] > 0
+		case w.Killed[0]:
+			s.dead = w.Killed[1] > 0
 			s.queues = make([]queue, w.Dsts)
-		case w.Dead[1]:
+		case w.Killed[1]:
 			s.dead = false
-			s.life++
-			w.p.restarted(w.l.Now(), i)
-			w.view(i)
+			s.incarnation++
+			w.policy.restart(w.events.Now(), i)
+			w.updateView(i)
 		}
 		if at == w.Paused[0] || at == w.Paused[1] {
-			s.still = within(at, w.Paused)
+			s.paused = inSpan(at, w.Paused)
 		}
 	}
-	for _, span := range [][2]int64{w.Cut, w.Dead, w.Paused} {
-		if span[1] > 0 && (at == span[0]+detect || at == span[1]+back) {
-			w.views()
+	for _, span := range [][2]int64{w.Partitioned, w.Killed, w.Paused} {
+		if span[1] > 0 && (at == span[0]+detectionDelay || at == span[1]+recoveryDelay) {
+			w.updateViews()
 		}
 	}
 }
 
-func (w *World) apart(i, j int) bool {
-	return within(w.l.Now()-loop.Origin, w.Cut) && i%2 != j%2
+func (w *World) partitioned(i, j int) bool {
+	return inSpan(w.events.Now()-loop.Origin, w.Partitioned) && i%2 != j%2
 }
 
-func (w *World) views() {
-	for i := range w.ss {
-		w.view(i)
+func (w *World) updateViews() {
+	for i := range w.senders {
+		w.updateView(i)
 	}
 }
 
-func (w *World) view(i int) {
-	v := members.View{Self: w.names[i], Members: make([]members.Member, len(w.ss))}
-	for j, o := range w.ss {
-		v.Members[j] = members.Member{Name: w.names[j], Incarnation: o.life}
-		if i != j && (o.dead || o.still || w.apart(i, j)) {
-			v.Members[j].State = members.Gone
+func (w *World) updateView(i int) {
+	v := members.View{Self: w.names[i], Members: make([]members.Member, len(w.senders))}
+	for j, other := range w.senders {
+		v.Members[j] = members.Member{Name: w.names[j], Incarnation: other.incarnation}
+		if i != j && (other.dead || other.paused || w.partitioned(i, j)) {
+			v.Members[j].State = members.Dead
 		}
 	}
-	w.p.viewed(w.l.Now(), i, v)
+	w.policy.setView(w.events.Now(), i, v)
 }
 
-// parts draws anew which sender gets how much of the traffic.
-func (w *World) parts() {
-	for _, d := range w.ds {
-		ws := make([]float64, len(w.ss))
-		for rank, i := range w.r.Perm(len(w.ss)) {
-			ws[i] = math.Pow(float64(rank+1), -w.Uneven)
+// drawShares draws for each destination how its traffic is distributed over the senders.
+func (w *World) drawShares() {
+	for _, d := range w.dsts {
+		ws := make([]float64, len(w.senders))
+		for rank, i := range w.trafficRand.Perm(len(w.senders)) {
+			ws[i] = math.Pow(float64(rank+1), -w.Skew)
 		}
-		d.parts = draw.Weighted(ws)
+		d.shares = draw.Weighted(ws)
 	}
 }
 
-// arrive brings the messages of one step; those for a dead or stopped sender go to the next one that lives, as clients go elsewhere.
-func (w *World) arrive(now int64) {
-	for k, d := range w.ds {
+// addArrivals adds the messages that arrive in one step. Those for a killed or paused sender go to the next running one, as
+// clients fail over.
+func (w *World) addArrivals(now int64) {
+	for k, d := range w.dsts {
 		mean := w.Limit * w.Load * float64(step) / 1e6
-		if !w.counts(now) {
-			mean *= warmLoad / w.Load
+		if !w.measuring(now) {
+			mean *= warmUpLoad / w.Load
 		}
-		for n := poisson(w.r, mean); n > 0; n-- {
-			i := d.parts.Draw(w.r)
-			for w.ss[i].dead || w.ss[i].still {
-				i = (i + 1) % len(w.ss)
+		for n := poisson(w.trafficRand, mean); n > 0; n-- {
+			i := d.shares.Draw(w.trafficRand)
+			for w.senders[i].dead || w.senders[i].paused {
+				i = (i + 1) % len(w.senders)
 			}
-			w.ss[i].queues[k].held = append(w.ss[i].queues[k].held, held{now, now})
-			w.ss[i].queues[k].arrived++
-			w.f.offered(now)
-			if w.counts(now) {
+			w.senders[i].queues[k].messages = append(w.senders[i].queues[k].messages, queuedMessage{now, now})
+			w.senders[i].queues[k].arrived++
+			w.tally.arrived(now)
+			if w.measuring(now) {
 				d.wanted++
 			}
 		}
 	}
 }
 
+// poisson draws from a Poisson distribution.
 func poisson(r *rand.Rand, mean float64) int {
-	n, p, least := 0, r.Float64(), math.Exp(-mean)
-	for p > least {
+	n, p, limit := 0, r.Float64(), math.Exp(-mean)
+	for p > limit {
 		n++
 		p *= r.Float64()
 	}
 	return n
 }
 
-func (w *World) counts(now int64) bool { return now >= loop.Origin+warm }
+func (w *World) measuring(now int64) bool { return now >= loop.Origin+warmUp }
 
-// tell gives the policy what a sender wants.
-func (w *World) tell(now int64, i int) {
-	for k := range w.ss[i].queues {
-		q := &w.ss[i].queues[k]
-		q.rate += (q.arrived*1e6/float64(turn) - q.rate) / 20
+// reportDemand reports a sender's traffic and waiting messages to the policy.
+func (w *World) reportDemand(now int64, i int) {
+	for k := range w.senders[i].queues {
+		q := &w.senders[i].queues[k]
+		q.rate += (q.arrived*1e6/float64(tickInterval) - q.rate) / 20
 		q.arrived = 0
-		n := 0
-		for _, h := range q.held {
-			if h.from <= now {
-				n++
+		waiting := 0
+		for _, h := range q.messages {
+			if h.notBefore <= now {
+				waiting++
 			}
 		}
-		w.p.need(now, i, k, q.rate, n)
+		w.policy.setDemand(now, i, k, q.rate, waiting)
 	}
 }
 
-// call lets every sender call as long as it may; who comes first changes with each step.
-func (w *World) call(now int64) {
-	first := int(now/step) % len(w.ss)
-	_, knowing := w.p.(*knowing)
-	for k, d := range w.ds {
+// makeCalls lets every sender call as long as its policy allows. The sender that goes first changes with each step.
+func (w *World) makeCalls(now int64) {
+	first := int(now/step) % len(w.senders)
+	_, allKnowing := w.policy.(*oracle)
+	for k, d := range w.dsts {
 		calls := 0
-		for pass := range 2 { // who knows all lets those go first that have their target time before them, wherever they are
-			if pass == 0 && !knowing {
+		for pass := range 2 { // the all-knowing policy first serves the messages of all senders that can still meet their target time
+			if pass == 0 && !allKnowing {
 				continue
 			}
-			for o := range w.ss {
-				i := (first + o) % len(w.ss)
-				if s := w.ss[i]; !s.dead && !s.still && len(s.queues[k].held) > 0 {
-					calls += w.drain(now, i, k, d, pass == 0)
+			for offset := range w.senders {
+				i := (first + offset) % len(w.senders)
+				if s := w.senders[i]; !s.dead && !s.paused && len(s.queues[k].messages) > 0 {
+					calls += w.callFromQueue(now, i, k, d, pass == 0)
 				}
 			}
 		}
@@ -275,51 +281,53 @@
 	}
 }
 
-func (w *World) drain(now int64, i, k int, d *destination, fresh bool) (calls int) {
-	q := &w.ss[i].queues[k]
-	q.held = slices.DeleteFunc(q.held, func(h held) bool { return now-h.came >= deadline })
-	for now >= q.free {
-		at := q.pick(now)
+// callFromQueue makes the calls of one sender to one destination; with fresh set, only for messages within their target time.
+func (w *World) callFromQueue(now int64, i, k int, d *destination, fresh bool) (calls int) {
+	q := &w.senders[i].queues[k]
+	q.messages = slices.DeleteFunc(q.messages, func(h queuedMessage) bool { return now-h.arrivedAt >= deadline })
+	for now >= q.resumeAt {
+		at := q.nextMessage(now)
 		if at < 0 {
 			return calls
 		}
-		h := q.held[at]
-		if fresh && now-h.came >= target {
+		h := q.messages[at]
+		if fresh && now-h.arrivedAt >= target {
 			return calls
 		}
-		if q.since == 0 {
-			q.since = now
+		if q.waitingSince == 0 {
+			q.waitingSince = now
 		}
-		if !w.p.may(now, i, k) {
+		if !w.policy.allow(now, i, k) {
 			return calls
 		}
-		w.f.waited(now, now-q.since)
-		q.since = 0
+		w.tally.waited(now, now-q.waitingSince)
+		q.waitingSince = 0
 		calls++
-		ok := d.take(now)
-		w.f.called(now, ok)
-		w.p.told(now, i, k, ok, d.limit)
+		ok := d.accept(now)
+		w.tally.called(now, ok)
+		w.policy.callDone(now, i, k, ok, d.limit)
 		if ok {
-			w.f.delivered(now, now-h.came)
-			if w.counts(now) {
-				d.taken++
+			w.tally.delivered(now, now-h.arrivedAt)
+			if w.measuring(now) {
+				d.accepted++
 			}
-			q.held = slices.Delete(q.held, at, at+1)
+			q.messages = slices.Delete(q.messages, at, at+1)
 			continue
 		}
-		q.free = now + second/4 + w.r.Int64N(second/4)
-		q.held[at].from = now + second/4 + w.r.Int64N(3*second/4) // told wait and jitter
+		q.resumeAt = now + second/4 + w.trafficRand.Int64N(second/4)
+		q.messages[at].notBefore = now + second/4 + w.trafficRand.Int64N(3*second/4) // retry-after and jitter
 	}
 	return calls
 }
 
-// pick gives the message to go first: the oldest of those that have their target time before them, else the oldest; -1 where none may go.
-func (q *queue) pick(now int64) int {
+// nextMessage returns the index of the message to send first: the oldest that can still meet its target time, else the
+// oldest; -1 if none is due.
+func (q *queue) nextMessage(now int64) int {
 	late := -1
-	for i, h := range q.held {
+	for i, h := range q.messages {
 		switch {
-		case h.from > now:
-		case now-h.came < target:
+		case h.notBefore > now:
+		case now-h.arrivedAt < target:
 			return i
 		case late < 0:
 			late = i
@@ -328,31 +336,29 @@
 	return late
 }
 
-// take is the destination's own limit. Refused calls use it up too.
-func (d *destination) take(now int64) bool {
-	d.level = min(d.limit*burst, d.level+d.limit*float64(now-d.at)/1e6)
-	d.at = now
-	if d.level >= 1 {
-		d.level--
+// accept applies the destination's own limit to a call. Refused calls use up the limit too.
+func (d *destination) accept(now int64) bool {
+	d.tokens = min(d.limit*burstSeconds, d.tokens+d.limit*float64(now-d.filledAt)/1e6)
+	d.filledAt = now
+	if d.tokens >= 1 {
+		d.tokens--
 		return true
 	}
-	d.level = max(d.level-1, -d.limit*debtMost)
+	d.tokens = max(d.tokens-1, -d.limit*maxDebt)
 	return false
 }
 
-// send puts a letter on a link.
-func (w *World) send(from, to int, m any, size int) {
-	w.bytes += size + frame
-	if w.apart(from, to) || w.links.Float64() < w.Loss {
+// send sends a peer message, which a partition or a random loss may drop.
+func (w *World) send(from, to int, body any, size int) {
+	w.bytesSent += size + frameOverhead
+	if w.partitioned(from, to) || w.linkRand.Float64() < w.Loss {
 		return
 	}
-	w.next++
-	w.letters[w.next] = letter{from, to, m}
-	w.l.At(w.l.Now()+draw.Around(w.links, w.Delay, 0.5), w, evLetter, w.next)
+	w.lastMessage++
+	w.messages[w.lastMessage] = peerMessage{from, to, body}
+	w.events.At(w.events.Now()+draw.Uniform(w.linkRand, w.Delay, 0.5), w, evMessage, w.lastMessage)
 }
 
-func (w *World) index(name string) int { return sort.SearchStrings(w.names, name) }
+func (w *World) senderIndex(name string) int { return sort.SearchStrings(w.names, name) }
 
 func dstName(d int) string { return strconv.Itoa(40001 + d) }
-
-var last *World
--- a/internal/lab/hearsay/plot.go
+++ b/internal/lab/gossip/plot.go
@@ -1,4 +1,4 @@
-package hearsay
+package gossip
 
 import (
 	"fmt"
@@ -9,25 +9,25 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Curve is one fleet's share that knows, over time.
+// Curve is the propagation in one fleet, with its name in the legend.
 type Curve struct {
 	Name string
-	Spreading
+	Propagation
 }
 
-const least = 1e-4 // share at the foot of the plot
+const minShare = 1e-4 // lower end of the logarithmic axis
 
-// Plot draws curves over the first second into a file whose ending says its form.
+// Plot draws the first second of the curves into a file, whose extension determines the format.
 func Plot(file string, curves []Curve) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Who does not know of a new fact yet (virtual time)", "ms since it was seen", "share of senders"
 	p.Legend.Top = true
-	p.Y.Min, p.Y.Max, p.Y.Scale, p.Y.Tick.Marker = least, 1, plot.LogScale{}, plot.LogTicks{Prec: -1}
+	p.Y.Min, p.Y.Max, p.Y.Scale, p.Y.Tick.Marker = minShare, 1, plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Add(plotter.NewGrid())
 	for i, c := range curves {
 		var xys plotter.XYs
 		for ms := 0.0; ms <= 1000; ms += 2 {
-			xys = append(xys, plotter.XY{X: ms, Y: max(least, 1-c.Within(ms))})
+			xys = append(xys, plotter.XY{X: ms, Y: max(minShare, 1-c.Within(ms))})
 		}
 		l, err := plotter.NewLine(xys)
 		if err != nil {
--- a/internal/lab/loop/loop.go
+++ b/internal/lab/loop/loop.go
@@ -1,19 +1,21 @@
-// Package loop runs events in virtual time: a queue ordered by time, and among equal times by when each was asked for.
-// One goroutine owns a loop; nothing in it depends on the machine.
+// Package loop is a discrete-event scheduler: it runs events in virtual time, ordered by their time and, among equal
+// times, by the order in which they were scheduled. A loop belongs to one goroutine, and its runs are deterministic.
 package loop
 
-// Origin is the time at which a loop begins, in µs: past zero, so that zero can mean never.
+// Origin is the virtual time at which a loop starts, in µs. It is above zero so that zero can mean "never".
 const Origin = int64(1_000_000_000)
 
-// arity of the heap: four children share a cache line or two, and the tree is half as deep as a binary one.
+// arity is the number of children of a heap node. Four children fit into one or two cache lines, and the tree is half as
+// deep as a binary one.
 const arity = 4
 
-// Handler is told when something it asked for is due. kind and number are what it asked with.
+// Handler receives events that are due, with the kind and number that were passed to At.
 type Handler interface {
 	Handle(kind uint8, number uint64)
 }
 
-// node is a place in the heap. It holds no pointer, so that moving it costs the collector nothing.
+// node is an element of the heap. It holds no pointer, so that moving it causes no work for the
+// garbage collector.
 type node struct {
 	at   int64
 	seq  uint64
@@ -22,37 +24,37 @@
 
 func (a node) before(b node) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// payload is what a node stands for.
+// payload is the event that a node refers to by its slot.
 type payload struct {
 	h      Handler
 	number uint64
 	kind   uint8
 }
 
-// Loop is a queue of events and the time of the one that runs. Its room follows the events pending.
+// Loop is a queue of events with a virtual clock. Its memory grows with the number of pending events.
 type Loop struct {
 	now   int64
 	seq   uint64
 	ran   uint64
 	heap  []node
 	slots []payload
-	free  []uint32 // slots to use again
+	free  []uint32 // slots that can be reused
 }
 
-// New gives an empty loop at Origin.
+// New returns an empty loop whose time is Origin.
 func New() *Loop { return &Loop{now: Origin} }
 
-// Now is the time of the running event, in µs.
+// Now returns the virtual time in µs: that of the running event.
 func (l *Loop) Now() int64 { return l.now }
 
-// Ran counts the events that have run.
+// Ran returns the number of events that have run.
 func (l *Loop) Ran() uint64 { return l.ran }
 
-// Pending counts those that wait.
+// Pending returns the number of events that have not run yet.
 func (l *Loop) Pending() int { return len(l.heap) }
 
-// At asks for a handler to be told at a time, at once if that is past. An event cannot be taken back: its handler
-// knows by kind and number whether it still means anything.
+// At schedules an event for a handler; a time in the past means now. Events cannot be cancelled: the handler ignores the
+// ones that are obsolete, which it recognizes by kind and number.
 func (l *Loop) At(at int64, h Handler, kind uint8, number uint64) {
 	l.seq++
 	n := node{at: max(at, l.now), seq: l.seq}
@@ -64,10 +66,10 @@
 		l.slots = append(l.slots, payload{h, number, kind})
 	}
 	l.heap = append(l.heap, n)
-	l.up(len(l.heap) - 1)
+	l.siftUp(len(l.heap) - 1)
 }
 
-// Run takes events in order until none is left that is due by the end, and leaves the time there.
+// Run executes the events that are due up to and including end, and then sets the time to end.
 func (l *Loop) Run(end int64) {
 	for len(l.heap) > 0 && l.heap[0].at <= end {
 		l.step()
@@ -75,9 +77,9 @@
 	l.now = max(l.now, end)
 }
 
-// Drain runs until nothing is pending, or a bound on events is met; it tells whether nothing is left.
-func (l *Loop) Drain(most uint64) bool {
-	for limit := l.ran + most; len(l.heap) > 0 && l.ran < limit; {
+// Drain executes events until none is pending or maxEvents have run. It reports whether none is pending.
+func (l *Loop) Drain(maxEvents uint64) bool {
+	for limit := l.ran + maxEvents; len(l.heap) > 0 && l.ran < limit; {
 		l.step()
 	}
 	return len(l.heap) == 0
@@ -89,7 +91,7 @@
 	l.heap[0] = l.heap[last]
 	l.heap = l.heap[:last]
 	if last > 1 {
-		l.down(0)
+		l.siftDown(0)
 	}
 	p := l.slots[n.slot]
 	l.slots[n.slot] = payload{}
@@ -99,7 +101,7 @@
 	p.h.Handle(p.kind, p.number)
 }
 
-func (l *Loop) up(i int) {
+func (l *Loop) siftUp(i int) {
 	h, n := l.heap, l.heap[i]
 	for i > 0 {
 		parent := (i - 1) / arity
@@ -112,7 +114,7 @@
 	h[i] = n
 }
 
-func (l *Loop) down(i int) {
+func (l *Loop) siftDown(i int) {
 	h, n := l.heap, l.heap[i]
 	for {
 		first := i*arity + 1
--- a/internal/lab/loop/loop_test.go
+++ b/internal/lab/loop/loop_test.go
@@ -10,33 +10,33 @@
 )
 
 type recorder struct {
-	l    *Loop
-	seen []int64
-	nums []uint64
-	more int
+	l       *Loop
+	times   []int64
+	numbers []uint64
+	respawn int
 }
 
 func (r *recorder) Handle(_ uint8, n uint64) {
-	r.seen, r.nums = append(r.seen, r.l.Now()), append(r.nums, n)
-	if r.more > 0 {
-		r.more--
+	r.times, r.numbers = append(r.times, r.l.Now()), append(r.numbers, n)
+	if r.respawn > 0 {
+		r.respawn--
 		r.l.At(r.l.Now(), r, 0, 1000+n)
 	}
 }
 
-func TestEventsRunByTimeAndThenInTheOrderAskedFor(t *testing.T) {
+func TestEventsRunInOrderOfTimeAndScheduling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
-		r := &recorder{l: l, more: rapid.IntRange(0, 5).Draw(t, "more")}
+		r := &recorder{l: l, respawn: rapid.IntRange(0, 5).Draw(t, "more")}
 		ats := rapid.SliceOfN(rapid.Int64Range(0, 20), 1, 200).Draw(t, "ats")
 		for i, at := range ats {
 			l.At(Origin+at, r, 0, uint64(i))
 		}
 		assert.True(t, l.Drain(1000))
-		assert.True(t, slices.IsSorted(r.seen))
-		for i := 1; i < len(r.seen); i++ {
-			if r.seen[i] == r.seen[i-1] && r.nums[i] < 1000 && r.nums[i-1] < 1000 {
-				assert.Less(t, r.nums[i-1], r.nums[i])
+		assert.True(t, slices.IsSorted(r.times))
+		for i := 1; i < len(r.times); i++ {
+			if r.times[i] == r.times[i-1] && r.numbers[i] < 1000 && r.numbers[i-1] < 1000 {
+				assert.Less(t, r.numbers[i-1], r.numbers[i])
 			}
 		}
 	})
@@ -48,16 +48,16 @@
 	l.At(Origin+5, r, 0, 1)
 	l.At(Origin+6, r, 0, 2)
 	l.Run(Origin + 5)
-	assert.Equal(t, []uint64{1}, r.nums)
+	assert.Equal(t, []uint64{1}, r.numbers)
 	assert.Equal(t, 1, l.Pending())
 	l.Run(Origin + 100)
 	assert.Equal(t, Origin+100, l.Now())
-	l.At(Origin, r, 0, 3) // past: at once, never back in time
+	l.At(Origin, r, 0, 3) // in the past: runs now, and the clock does not go back
 	l.Run(Origin + 100)
-	assert.Equal(t, Origin+100, r.seen[2])
+	assert.Equal(t, Origin+100, r.times[2])
 }
 
-// hop asks for itself again and again, at a pseudo-random distance: the classic hold model of event queues.
+// hop reschedules itself after a pseudo-random time: the hold model, the usual benchmark of event queues.
 type hop struct {
 	l *Loop
 	x uint64
--- a/internal/lab/mesh/mesh.go
+++ b/internal/lab/mesh/mesh.go
@@ -1,5 +1,5 @@
-// Package mesh carries letters between decision modules in virtual time, over directed links that delay, lose, double and cut.
-// The same seed gives the same run.
+// Package mesh simulates the network between the decision modules of peers in virtual time. Its directed links delay, lose,
+// duplicate and block peer messages. Runs with the same seed are identical.
 package mesh
 
 import (
@@ -11,119 +11,120 @@
 	"ravenlink/internal/post"
 )
 
-// Node is a module under test. Both return what is to be sent.
+// Node is a module under test. Both methods return the peer messages to send.
 type Node[M any] interface {
-	Heard(now int64, from string, m M) []post.Letter[M]
-	Tick(now int64) []post.Letter[M]
+	Receive(now int64, from string, m M) []post.PeerMessage[M]
+	Tick(now int64) []post.PeerMessage[M]
 }
 
-// tick in place of a flight's sender: the receiver's own time to tick.
-const tick = -1
+// timerTick stands in place of the sender of an event that makes its receiver tick.
+const timerTick = -1
 
-type flight[M any] struct {
-	at, n    int64
+// event is a peer message that is due to arrive, or the next tick of a node.
+type event[M any] struct {
+	at, seq  int64
 	from, to int
 	msg      M
 }
 
-type flights[M any] []flight[M]
+type eventHeap[M any] []event[M]
 
-func (h flights[M]) Len() int { return len(h) }
-func (h flights[M]) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+func (h eventHeap[M]) Len() int { return len(h) }
+func (h eventHeap[M]) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h flights[M]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *flights[M]) Push(x any)   { *h = append(*h, x.(flight[M])) }
-func (h *flights[M]) Pop() any {
+func (h eventHeap[M]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap[M]) Push(x any)   { *h = append(*h, x.(event[M])) }
+func (h *eventHeap[M]) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-// Mesh is the fleet's links. Nodes that are nil are down. Every tells how often each node ticks, in µs.
+// Mesh is the network between all nodes. A nil node is down.
 type Mesh[M any] struct {
-	Names  []string
-	Nodes  []Node[M]
-	Now    int64
-	Every  int64
-	Delay  int64                    // µs at least; up to twice that
-	Loss   float64                  // share of letters lost
-	Double float64                  // share carried twice
-	Cut    func(from, to int) bool  // nil for none
-	Took   func(from, to, size int) // each letter handed over, with its size in cbor; nil for none
-	index  map[string]int
-	air    flights[M]
-	begun  []int64 // first ticks, until Run has them
-	n      int64
-	rng    *rand.Rand
+	Names         []string
+	Nodes         []Node[M]
+	Now           int64
+	TickInterval  int64                    // of each node, in µs
+	MinDelay      int64                    // in µs; delays are uniform up to twice that
+	LossRate      float64                  // share of messages lost
+	DuplicateRate float64                  // share of messages delivered twice
+	Partitioned   func(from, to int) bool  // reports whether a link is blocked; may be nil
+	OnSend        func(from, to, size int) // called for each message sent, with its size in CBOR; may be nil
+	index         map[string]int
+	events        eventHeap[M]
+	firstTicks    []int64 // times of the first ticks; nil once Run has scheduled them
+	seq           int64
+	rng           *rand.Rand
 }
 
-// New has no nodes yet: set Nodes[i] for each of names.
+// New returns a network without nodes; the caller sets Nodes[i] for each name.
 func New[M any](names []string, seed uint64) *Mesh[M] {
-	m := &Mesh[M]{Names: names, Nodes: make([]Node[M], len(names)), Every: 50_000, Delay: 1000, index: map[string]int{},
-		begun: make([]int64, len(names)), rng: rand.New(rand.NewPCG(seed, 1))}
+	m := &Mesh[M]{Names: names, Nodes: make([]Node[M], len(names)), TickInterval: 50_000, MinDelay: 1000, index: map[string]int{},
+		firstTicks: make([]int64, len(names)), rng: rand.New(rand.NewPCG(seed, 1))}
 	for i, name := range names {
 		m.index[name] = i
-		m.begun[i] = m.rng.Int64N(m.Every)
+		m.firstTicks[i] = m.rng.Int64N(m.TickInterval)
 	}
 	return m
 }
 
-// Post sends what node from wants told.
-func (m *Mesh[M]) Post(from int, letters []post.Letter[M]) {
-	for _, l := range letters {
-		if l.To != "" {
-			m.send(from, m.index[l.To], l.Msg)
+// Send transmits the peer messages of a node; those without a recipient go to all other nodes.
+func (m *Mesh[M]) Send(from int, messages []post.PeerMessage[M]) {
+	for _, p := range messages {
+		if p.To != "" {
+			m.transmit(from, m.index[p.To], p.Msg)
 			continue
 		}
 		for to := range m.Names {
 			if to != from {
-				m.send(from, to, l.Msg)
+				m.transmit(from, to, p.Msg)
 			}
 		}
 	}
 }
 
-func (m *Mesh[M]) send(from, to int, msg M) {
-	if m.Took != nil {
+func (m *Mesh[M]) transmit(from, to int, msg M) {
+	if m.OnSend != nil {
 		b, err := cbor.Marshal(msg)
 		if err != nil {
-			panic(err) // a module's message that cannot be encoded is a fault of the module
+			panic(err) // the module produced a message that cannot be encoded
 		}
-		m.Took(from, to, len(b))
+		m.OnSend(from, to, len(b))
 	}
-	times := 1
-	if m.rng.Float64() < m.Double {
-		times = 2
+	copies := 1
+	if m.rng.Float64() < m.DuplicateRate {
+		copies = 2
 	}
-	for range times {
-		if m.rng.Float64() < m.Loss || m.Cut != nil && m.Cut(from, to) {
+	for range copies {
+		if m.rng.Float64() < m.LossRate || m.Partitioned != nil && m.Partitioned(from, to) {
 			continue
 		}
-		m.n++
-		heap.Push(&m.air, flight[M]{at: m.Now + m.Delay + m.rng.Int64N(m.Delay+1), n: m.n, from: from, to: to, msg: msg})
+		m.seq++
+		heap.Push(&m.events, event[M]{at: m.Now + m.MinDelay + m.rng.Int64N(m.MinDelay+1), seq: m.seq, from: from, to: to, msg: msg})
 	}
 }
 
-// Run lets time pass until the given moment.
+// Run processes the events before the given time and advances Now to it.
 func (m *Mesh[M]) Run(until int64) {
-	for i := range m.begun {
-		heap.Push(&m.air, flight[M]{at: m.begun[i], n: int64(i) - int64(len(m.begun)), from: tick, to: i})
+	for i := range m.firstTicks {
+		heap.Push(&m.events, event[M]{at: m.firstTicks[i], seq: int64(i) - int64(len(m.firstTicks)), from: timerTick, to: i})
 	}
-	m.begun = nil
-	for len(m.air) > 0 && m.air[0].at < until {
-		f := heap.Pop(&m.air).(flight[M])
-		m.Now = f.at
+	m.firstTicks = nil
+	for len(m.events) > 0 && m.events[0].at < until {
+		e := heap.Pop(&m.events).(event[M])
+		m.Now = e.at
 		switch {
-		case f.from == tick:
-			if m.Nodes[f.to] != nil {
-				m.Post(f.to, m.Nodes[f.to].Tick(m.Now))
+		case e.from == timerTick:
+			if m.Nodes[e.to] != nil {
+				m.Send(e.to, m.Nodes[e.to].Tick(m.Now))
 			}
-			f.at += m.Every
-			heap.Push(&m.air, f)
-		case m.Nodes[f.to] != nil && m.Nodes[f.from] != nil:
-			m.Post(f.to, m.Nodes[f.to].Heard(m.Now, m.Names[f.from], f.msg))
+			e.at += m.TickInterval
+			heap.Push(&m.events, e)
+		case m.Nodes[e.to] != nil && m.Nodes[e.from] != nil:
+			m.Send(e.to, m.Nodes[e.to].Receive(m.Now, m.Names[e.from], e.msg))
 		}
 	}
 	m.Now = until
--- a/internal/lab/policy/bound.go
+++ b/internal/lab/policy/bound.go
@@ -7,60 +7,60 @@
 )
 
 const (
-	boundLooks    = second / 100 // µs between looks at the true state while something waits
-	boundPatience = 6            // times the mean work at that receiver for which it waits for an answer
-	boundScans    = 200          // held messages of one destination weighed for each leg; further ones wait their turn
+	boundInterval      = second / 100 // µs between checks of the true state while messages are queued
+	boundTimeoutFactor = 6            // timeout of a leg, as a multiple of the receiver's service time
+	boundMaxScan       = 200          // queued messages of a destination considered for each leg; later ones wait
 )
 
-// bound sees the true state of every receiver and sends only what will be worked on at once. It is no policy that could
-// be built, and no proof of a bound either: it decides greedily, each sender in its turn.
+// bound knows the true state of every receiver and sends only calls that start without waiting. No real sender could do so.
+// Nor is it a proven upper bound: it decides greedily, one sender after another.
 type bound struct {
-	Start
-	now     int64
-	msgs    map[string]*boundItem // emptied as messages end and their legs settle
-	dsts    map[int64]*boundDst
-	order   []*boundDst
-	targets map[uint32]*target
-	lines   map[string]*boundLine // emptied as lines run empty and have rested
-	out     int
-	ringing bool
+	Config
+	now       int64
+	byID      map[string]*boundMessage // removed when they have ended and their legs are settled
+	dsts      map[int64]*boundDst
+	dstOrder  []*boundDst
+	receivers map[uint32]*receiver
+	keyQueues map[string]*boundKeyQueue // one per key; never removed
+	inFlight  int
+	timerSet  bool
 }
 
-type boundItem struct {
-	item
-	dst  *boundDst
-	line *boundLine
+type boundMessage struct {
+	message
+	dst      *boundDst
+	keyQueue *boundKeyQueue
 }
 
 type boundDst struct {
-	apart     bool
-	targets   []*target
-	held      []*boundItem
-	waitUntil int64
+	perReceiver bool
+	receivers   []*receiver
+	queued      []*boundMessage
+	retryAt     int64
 }
 
-type boundLine struct {
-	items []*boundItem
-	rest  int64
+type boundKeyQueue struct {
+	messages   []*boundMessage
+	quietUntil int64
 }
 
-func newBound(s Start) Policy {
-	return &bound{Start: s, msgs: map[string]*boundItem{}, dsts: map[int64]*boundDst{}, targets: map[uint32]*target{},
-		lines: map[string]*boundLine{}}
+func newBound(c Config) Policy {
+	return &bound{Config: c, byID: map[string]*boundMessage{}, dsts: map[int64]*boundDst{}, receivers: map[uint32]*receiver{},
+		keyQueues: map[string]*boundKeyQueue{}}
 }
 
-func (b *bound) At(now int64)                                 { b.now = now }
-func (b *bound) Noted(string)                                 {}
-func (b *bound) Probed(uint32, choice.Outcome, choice.Report) {}
-func (b *bound) Rang(uint64)                                  { b.ringing = false }
+func (b *bound) SetTime(now int64)                                   { b.now = now }
+func (b *bound) ReceiveNote(string)                                  {}
+func (b *bound) ProbeEnded(uint32, choice.Outcome, choice.RateLimit) {}
+func (b *bound) TimerFired(uint64)                                   { b.timerSet = false }
 
-func (b *bound) Listed(form choice.ListForm, entries []choice.Entry) {
-	if form == choice.LookupFailed {
+func (b *bound) UpdateList(kind choice.ListKind, entries []choice.Entry) {
+	if kind == choice.LookupFailed {
 		return
 	}
-	if form != choice.Changes {
-		for _, d := range b.order {
-			d.targets = nil
+	if kind != choice.Delta {
+		for _, d := range b.dstOrder {
+			d.receivers = nil
 		}
 	}
 	for _, e := range entries {
@@ -68,138 +68,141 @@
 		if d == nil {
 			d = &boundDst{}
 			b.dsts[e.Dst] = d
-			b.order = append(b.order, d)
+			b.dstOrder = append(b.dstOrder, d)
 		}
-		d.apart = e.Kind >= 0 && b.Kinds[e.Kind].Apart
-		t := b.targets[e.Receiver]
-		if t == nil {
-			t = &target{id: e.Receiver, zone: e.Zone}
-			b.targets[e.Receiver] = t
+		d.perReceiver = e.Kind >= 0 && b.Kinds[e.Kind].PerReceiver
+		r := b.receivers[e.Receiver]
+		if r == nil {
+			r = &receiver{id: e.Receiver, zone: e.Zone}
+			b.receivers[e.Receiver] = r
 		}
-		d.targets = slices.DeleteFunc(d.targets, func(o *target) bool { return o == t })
+		d.receivers = slices.DeleteFunc(d.receivers, func(o *receiver) bool { return o == r })
 		if e.Listed {
-			d.targets = append(d.targets, t)
+			d.receivers = append(d.receivers, r)
 		}
 	}
 }
 
-func (b *bound) Take(id string, lane int, key string, to, expires int64, _ ...choice.PastLeg) {
-	d := b.dsts[to]
+func (b *bound) Accept(id string, class int, key string, dstID, expires int64, _ ...choice.PastLeg) {
+	d := b.dsts[dstID]
 	if d == nil {
-		b.Host.PushBack(id, 0)
+		b.Host.Reject(id, 0)
 		return
 	}
-	m := &boundItem{item: item{id: id, lane: &b.Lanes[lane], expires: expires}, dst: d}
-	b.msgs[id] = m
-	d.held = append(d.held, m)
-	if m.lane.InOrder && key != "" {
-		if m.line = b.lines[key]; m.line == nil {
-			m.line = &boundLine{}
-			b.lines[key] = m.line
+	m := &boundMessage{message: message{id: id, class: &b.Classes[class], expires: expires}, dst: d}
+	b.byID[id] = m
+	d.queued = append(d.queued, m)
+	if m.class.Ordered && key != "" {
+		if m.keyQueue = b.keyQueues[key]; m.keyQueue == nil {
+			m.keyQueue = &boundKeyQueue{}
+			b.keyQueues[key] = m.keyQueue
 		}
-		m.line.items = append(m.line.items, m)
+		m.keyQueue.messages = append(m.keyQueue.messages, m)
 	}
 }
 
-func (b *bound) Withdrawn(id string) {
-	if m := b.msgs[id]; m != nil {
-		b.over(m)
+func (b *bound) Withdraw(id string) {
+	if m := b.byID[id]; m != nil {
+		b.remove(m)
 	}
 }
 
-func (b *bound) over(m *boundItem) {
-	m.over = true
-	m.dst.held = slices.DeleteFunc(m.dst.held, func(o *boundItem) bool { return o == m })
-	if m.out() > 0 {
+// remove ends a message, and forgets it when it has no open legs.
+func (b *bound) remove(m *boundMessage) {
+	m.ended = true
+	m.dst.queued = slices.DeleteFunc(m.dst.queued, func(o *boundMessage) bool { return o == m })
+	if m.openLegs() > 0 {
 		return
 	}
-	delete(b.msgs, m.id)
-	if m.line != nil {
-		m.line.items = slices.DeleteFunc(m.line.items, func(o *boundItem) bool { return o == m })
+	delete(b.byID, m.id)
+	if m.keyQueue != nil {
+		m.keyQueue.messages = slices.DeleteFunc(m.keyQueue.messages, func(o *boundMessage) bool { return o == m })
 	}
 }
 
-func (b *bound) Settled(id string, number int, o choice.Outcome, wait int64, final bool, _ choice.Report) {
-	m := b.msgs[id]
+func (b *bound) LegEnded(id string, number int, o choice.Outcome, retryAfter int64, final bool, _ choice.RateLimit) {
+	m := b.byID[id]
 	if m == nil || number >= len(m.legs) || m.legs[number].settled {
 		return
 	}
-	m.legs[number].settled, m.legs[number].never = true, o.NeverRan()
-	b.out--
-	if to := m.legs[number].r; wait > 0 && m.dst.apart {
-		to.waitUntil = max(to.waitUntil, b.now+wait)
-	} else if wait > 0 {
-		m.dst.waitUntil = max(m.dst.waitUntil, b.now+wait)
+	m.legs[number].settled, m.legs[number].neverRan = true, o.NeverRan()
+	b.inFlight--
+	if r := m.legs[number].to; retryAfter > 0 && m.dst.perReceiver {
+		r.retryAt = max(r.retryAt, b.now+retryAfter)
+	} else if retryAfter > 0 {
+		m.dst.retryAt = max(m.dst.retryAt, b.now+retryAfter)
 	}
-	if m.line != nil && (o == choice.TimedOut || o == choice.Reset || o == choice.Cancelled) {
-		m.line.rest = b.now + b.Guards.KeyRest
+	if m.keyQueue != nil && (o == choice.TimedOut || o == choice.Reset || o == choice.Cancelled) {
+		m.keyQueue.quietUntil = b.now + b.Rules.KeyQuietTime
 	}
 	switch {
-	case final || m.over:
-		b.over(m)
-	case len(m.legs) >= b.Room.Legs || m.risky() != nil && m.lane.Repeat == choice.NonRetriable:
+	case final || m.ended:
+		b.remove(m)
+	case len(m.legs) >= b.Limits.MaxLegs || m.firstUnsafeLeg() != nil && m.class.RetryMode == choice.NonRetriable:
 		b.end(m)
 	default:
-		m.dst.held = append(m.dst.held, m)
+		m.dst.queued = append(m.dst.queued, m)
 	}
 }
 
-func (b *bound) end(m *boundItem) {
+func (b *bound) end(m *boundMessage) {
 	n := len(m.legs)
-	harmless := m.lane.Repeat == choice.Retriable || m.risky() == nil || m.lane.Repeat == choice.Keyed && m.lane.AnyInDst
-	if (n == 0 || m.legs[n-1].never) && harmless {
-		b.Host.PushBack(m.id, min(second, b.Allowed.MaxAdvice))
+	safe := m.class.RetryMode == choice.Retriable || m.firstUnsafeLeg() == nil || m.class.RetryMode == choice.Keyed && m.class.DstWideKeys
+	if (n == 0 || m.legs[n-1].neverRan) && safe {
+		b.Host.Reject(m.id, min(second, b.Capabilities.MaxRetryAfter))
 	} else {
 		b.Host.Fail(m.id)
 	}
-	b.over(m)
+	b.remove(m)
 }
 
-// Decide sends while the true state has room. A message still in time goes before one that is late; of those in time
-// the oldest, of the late ones the youngest.
+// Decide sends as long as the true state has room. Messages within their target go first, oldest first; then late ones,
+// youngest first.
 func (b *bound) Decide() {
-	waits := false
-	for _, d := range b.order {
-		if len(d.held) == 0 {
+	anyQueued := false
+	for _, d := range b.dstOrder {
+		if len(d.queued) == 0 {
 			continue
 		}
-		for _, m := range slices.Clone(d.held) {
-			if b.now >= b.lastChance(m) {
+		for _, m := range slices.Clone(d.queued) {
+			if b.now >= b.latestSend(m) {
 				b.end(m)
 			}
 		}
-		for b.out < b.Room.Slots {
-			m, t := b.next(d)
+		for b.inFlight < b.Limits.MaxCalls {
+			m, r := b.next(d)
 			if m == nil {
 				break
 			}
-			b.send(d, m, t)
+			b.send(d, m, r)
 		}
-		waits = waits || len(d.held) > 0
+		anyQueued = anyQueued || len(d.queued) > 0
 	}
-	if waits && !b.ringing {
-		b.ringing = true
-		b.Host.Timer(boundLooks, 0)
+	if anyQueued && !b.timerSet {
+		b.timerSet = true
+		b.Host.SetTimer(boundInterval, 0)
 	}
 }
 
-func (b *bound) lastChance(m *boundItem) int64 {
-	if l := m.risky(); l != nil && m.lane.Repeat == choice.Keyed {
-		return min(m.expires-margin, l.at+m.lane.Window-margin)
+// latestSend returns the latest time at which a leg may be sent, given the expiry and the key window.
+func (b *bound) latestSend(m *boundMessage) int64 {
+	if l := m.firstUnsafeLeg(); l != nil && m.class.RetryMode == choice.Keyed {
+		return min(m.expires-answerMargin, l.sentAt+m.class.KeyWindow-answerMargin)
 	}
-	return m.expires - margin
+	return m.expires - answerMargin
 }
 
-func (b *bound) next(d *boundDst) (best *boundItem, to *target) {
-	if d.waitUntil > b.now {
+// next returns the message of a destination to send next and its receiver, or nil if nothing can be sent now.
+func (b *bound) next(d *boundDst) (best *boundMessage, to *receiver) {
+	if d.retryAt > b.now {
 		return nil, nil
 	}
-	rank := func(m *boundItem) (late bool, age int64) {
-		age = b.now - (m.expires - m.lane.Deadline)
-		return age > m.lane.Target, age
+	rank := func(m *boundMessage) (late bool, age int64) {
+		age = b.now - (m.expires - m.class.Deadline)
+		return age > m.class.Target, age
 	}
-	for _, m := range d.held[:min(len(d.held), boundScans)] {
-		if m.line != nil && (m.line.items[0] != m || m.line.rest > b.now) {
+	for _, m := range d.queued[:min(len(d.queued), boundMaxScan)] {
+		if m.keyQueue != nil && (m.keyQueue.messages[0] != m || m.keyQueue.quietUntil > b.now) {
 			continue
 		}
 		late, age := rank(m)
@@ -209,35 +212,36 @@
 				continue
 			}
 		}
-		if t := b.fastest(d, m); t != nil {
-			best, to = m, t
-		} else if best == nil && m.risky() == nil {
-			return nil, nil // no room for anything here
+		if r := b.fastest(d, m); r != nil {
+			best, to = m, r
+		} else if best == nil && m.firstUnsafeLeg() == nil {
+			return nil, nil // no receiver has room, for any message
 		}
 	}
 	return best, to
 }
 
-func (b *bound) fastest(d *boundDst, m *boundItem) (to *target) {
-	least, risk := 0.0, m.risky()
-	for _, t := range d.targets {
-		if risk != nil && m.lane.Repeat == choice.Keyed && !m.lane.AnyInDst && t.zone != risk.r.zone {
+// fastest returns the receiver with the lowest service time among those where the message would start without waiting.
+func (b *bound) fastest(d *boundDst, m *boundMessage) (best *receiver) {
+	least, first := 0.0, m.firstUnsafeLeg()
+	for _, r := range d.receivers {
+		if first != nil && m.class.RetryMode == choice.Keyed && !m.class.DstWideKeys && r.zone != first.to.zone {
 			continue
 		}
-		if t.waitUntil > b.now || b.Truth.Room(b.Sender, t.id) <= 0 {
+		if r.retryAt > b.now || b.Oracle.FreeSlots(b.Sender, r.id) <= 0 {
 			continue
 		}
-		if took := b.Truth.Took(t.id); to == nil || took < least {
-			to, least = t, took
+		if took := b.Oracle.ServiceTime(r.id); best == nil || took < least {
+			best, least = r, took
 		}
 	}
-	return to
+	return best
 }
 
-func (b *bound) send(d *boundDst, m *boundItem, t *target) {
-	d.held = slices.DeleteFunc(d.held, func(o *boundItem) bool { return o == m })
-	b.out++
-	m.legs = append(m.legs, past{r: t, at: b.now})
-	patience := max(m.lane.Target, int64(boundPatience*b.Truth.Took(t.id))) // answers get lost, which nobody sees before
-	b.Host.Send(m.id, t.id, max(1, min(patience, m.expires-margin-b.now)))
+func (b *bound) send(d *boundDst, m *boundMessage, r *receiver) {
+	d.queued = slices.DeleteFunc(d.queued, func(o *boundMessage) bool { return o == m })
+	b.inFlight++
+	m.legs = append(m.legs, leg{to: r, sentAt: b.now})
+	timeout := max(m.class.Target, int64(boundTimeoutFactor*b.Oracle.ServiceTime(r.id))) // a lost answer is only seen by the timeout
+	b.Host.Send(m.id, r.id, max(1, min(timeout, m.expires-answerMargin-b.now)))
 }
