--- a/internal/lab/receivers/receiver.go
+++ b/internal/lab/receivers/receiver.go
@@ -1,5 +1,5 @@
-// Package receivers models those that messages are handed to: their work, queues, limits, coldness and failures. It
-// knows no network and no sender's reasons; a Clock drives it, in virtual or in real time.
+// Package receivers models the receivers of messages: service times, queues, rate limits, slow start after an outage, and
+// injected faults. It knows nothing of the network or of senders' policies. A Clock drives it, in virtual or in real time.
 package receivers
 
 import (
@@ -10,350 +10,359 @@
 	"ravenlink/internal/lab/loop"
 )
 
-// Clock is the time that receivers live in, in µs.
+// Clock tells the time in µs and schedules events.
 type Clock interface {
 	Now() int64
-	At(at int64, h loop.Handler, kind uint8, number uint64)
+	At(at int64, h loop.Handler, kind uint8, seq uint64)
 }
 
-// Kind of answer a receiver gives.
-type Kind uint8
+// AnswerKind is the kind of an answer to a call.
+type AnswerKind uint8
 
-// The answers.
+// The kinds of answers.
 const (
-	OK      Kind = iota
-	Error        // it may have run
-	Full         // turned away, surely not run
-	Broken       // the connection ended under the call: it may have run
-	Over         // nobody waits for its message any more; not run
-	Pending      // no answer yet
+	OK        AnswerKind = iota
+	Error                // the call may have run
+	Refused              // by the rate limit or a full queue; the call did not run
+	Reset                // the connection was reset during the call, which may have run
+	NotNeeded            // the caller no longer needed the call, so it did not run
+	Pending              // no answer yet
 )
 
-func (k Kind) String() string {
+func (k AnswerKind) String() string {
 	return [...]string{"ok", "error", "full", "broken", "over", "pending"}[k]
 }
 
-// Load is a report of the limit.
-type Load struct {
-	Told             bool
-	ShareLeft, Limit float64
+// LimitReport is the state of the route's rate limit, as sent with an answer.
+type LimitReport struct {
+	Known                       bool
+	RemainingShare, LimitPerSec float64
 }
 
-// Answer is what becomes of a call.
+// Answer is the result of a call.
 type Answer struct {
-	Kind Kind
-	Wait int64 // µs told with Full, 0 for none
-	Load Load
+	Kind       AnswerKind
+	RetryAfter int64 // µs, with Refused; 0 if none is given
+	Limit      LimitReport
 }
 
-// Sink hears what becomes of its call, once. Live is asked when the call comes: whether anybody still wants it.
-type Sink interface {
+// Caller makes calls. Answered is called exactly once for each call that isn't cancelled, and for a cancelled one only if it
+// was running or stays in the queue. StillNeeded is asked when the call arrives; if it returns false, the call is answered
+// NotNeeded.
+type Caller interface {
 	Answered(c *Call, a Answer)
-	Live(c *Call) bool
+	StillNeeded(c *Call) bool
 }
 
-// Call is one call at a receiver.
+// Call is a call from a sender to a receiver: a batch of messages, or a probe.
 type Call struct {
-	Sender   int
-	Messages int   // in it; at least one
-	Work     int64 // µs of one place at full speed
-	Probe    bool
-	Sink     Sink
-	Came     int64 // when it came, set by Offer
-	Used     int64 // µs of a place that it took, set as its work is done
-
-	at       *Receiver
-	state    callState
-	due      int64 // when its work is done
-	began    int64
-	pausedAt int64  // the receiver's total pause when it began
-	turn     uint64 // of the latest event asked for
+	Sender    int
+	Messages  int   // in the batch; at least one
+	Work      int64 // µs that one worker needs for one message at full speed
+	Probe     bool
+	Caller    Caller
+	ArrivedAt int64 // set by Offer
+	BusyTime  int64 // µs for which it occupied a worker, pauses included; set when its work is done
+
+	receiver     *Receiver
+	state        callState
+	doneAt       int64 // when the work is due to be done
+	startedAt    int64
+	pausedBefore int64  // the receiver's totalPaused already counted in doneAt
+	timerSeq     uint64 // of the latest event scheduled for this call; earlier events are ignored
 }
 
 type callState uint8
 
 const (
 	queued callState = iota
-	working
-	held // its work is done or never begins; no answer until something changes
-	gone
+	running
+	held // no worker is busy with it; its answer comes by a timer, or when a fault ends
+	ended
 )
 
-// Nature is what the receivers of one kind have in common.
-type Nature struct {
-	Work       draw.Times // of a message, at full speed
-	Places     int        // calls worked on at once
-	Queue      int        // calls that may wait
-	Further    float64    // share of its work that each further message of a call costs
-	ErrorShare float64    // of calls that fail in the ordinary course
-	ProbeTook  int64      // µs
-	ErrorTook  int64      // µs until a fast error
-	ColdShare  float64    // of the capacity that one back from an outage has
-	WarmIn     int64      // µs until it has all of it
-	MostConns  int        // connections it holds, idle ones counted; 0 for no bound
-	ConnIdle   int64      // µs after which it closes an idle one; 0 for never
-	Handshake  int64      // µs that a new connection costs the first call on it
-	Cancels    bool       // a call called off while it waits is taken out of the queue
+// Config holds the parameters shared by all receivers of one kind.
+type Config struct {
+	Work           draw.Distribution // service time of one message at full speed
+	Workers        int               // calls processed concurrently
+	QueueSize      int               // calls that may wait for a worker
+	BatchItemCost  float64           // work of each further message of a call, as a share of the first one's
+	ErrorShare     float64           // share of calls that fail without any fault
+	ProbeTime      int64             // µs to answer a probe
+	ErrorTime      int64             // µs to answer a call that fails or is reset
+	ColdShare      float64           // share of its capacity that a receiver has right after an outage
+	WarmUpTime     int64             // µs after an outage until it has its full capacity
+	MaxConns       int               // open connections, including idle ones; 0 for no limit
+	IdleTimeout    int64             // µs after which it closes an idle connection; 0 for never
+	HandshakeTime  int64             // µs that a new connection adds to the first call on it
+	DropsCancelled bool              // a call cancelled while it is queued leaves the queue
 }
 
-// Receiver is one receiver.
+// Receiver processes the calls of all senders to one address.
 type Receiver struct {
-	ID     uint32
-	Zone   int
-	Route  *Route
-	Nature *Nature
-	Conns  int    // open ones, idle ones counted; kept by the network
-	Since  uint64 // counts its starts: connections from before the latest are dead
-
-	clock   Clock
-	chance  *rand.Rand
-	speed   float64
-	queue   ring
-	busy    int
-	work    []*Call // worked on now; as many as places
-	stuck   []*Call // without an answer until something changes; emptied then
-	upSince int64   // when the latest outage ended, 0 for none yet
-	ill     bool
-
-	effects   effects
-	pausedSum int64 // µs of pauses over
-	pausedNow int64 // begin of the present pause, 0 for none
-
-	done int64 // µs of work done, for good or not
+	ID          uint32
+	Zone        int
+	Route       *Route
+	Config      *Config
+	Conns       int    // open connections, including idle ones; maintained by the network
+	Incarnation uint64 // incremented by resetAll; connections of an earlier incarnation are dead
+
+	clock        Clock
+	rng          *rand.Rand
+	speed        float64
+	queue        ring
+	busyWorkers  int
+	runningCalls []*Call // at most Config.Workers
+	heldCalls    []*Call // answered when a hang ends, or reset by resetAll; emptied then
+	recoveredAt  int64   // end of the latest outage; 0 if there was none
+	inOutage     bool
+
+	faults      faults
+	totalPaused int64 // µs, of pauses that have ended
+	pauseStart  int64 // of the current pause; 0 if there is none
+
+	busyTime int64 // µs, whether or not the caller got the answer
 }
 
-// New starts a receiver that is warm. speed multiplies the work it does in a second.
-func New(id uint32, zone int, nature *Nature, route *Route, speed float64, clock Clock, chance *rand.Rand) *Receiver {
-	r := &Receiver{ID: id, Zone: zone, Nature: nature, Route: route, clock: clock, chance: chance, speed: speed}
+// New returns a receiver with its full capacity. Service times are divided by speed.
+func New(id uint32, zone int, config *Config, route *Route, speed float64, clock Clock, rng *rand.Rand) *Receiver {
+	r := &Receiver{ID: id, Zone: zone, Config: config, Route: route, clock: clock, rng: rng, speed: speed}
 	route.receivers = append(route.receivers, r)
 	return r
 }
 
-// Capacity is the messages a second it can do when warm, one in a call, leaving limits aside.
+// Capacity returns the messages per second that a warm receiver can process, one message per call and without a rate limit.
 func (r *Receiver) Capacity() float64 {
-	return float64(r.Nature.Places) * r.speed / r.Nature.Work.Mean * 1e6
+	return float64(r.Config.Workers) * r.speed / r.Config.Work.Mean * 1e6
 }
 
-// share of its capacity that it has now.
-func (r *Receiver) share(now int64) float64 {
-	if r.upSince == 0 || r.Nature.WarmIn <= 0 || now-r.upSince >= r.Nature.WarmIn {
+// capacityShare returns the share of its capacity that the receiver has now: it rises linearly during the warm-up time.
+func (r *Receiver) capacityShare(now int64) float64 {
+	if r.recoveredAt == 0 || r.Config.WarmUpTime <= 0 || now-r.recoveredAt >= r.Config.WarmUpTime {
 		return 1
 	}
-	return r.Nature.ColdShare + (1-r.Nature.ColdShare)*float64(now-r.upSince)/float64(r.Nature.WarmIn)
+	return r.Config.ColdShare + (1-r.Config.ColdShare)*float64(now-r.recoveredAt)/float64(r.Config.WarmUpTime)
 }
 
-// Cold tells whether it is back from an outage and not yet warm.
-func (r *Receiver) Cold() bool { return r.share(r.clock.Now()) < 1 }
+// Cold reports whether the receiver is warming up after an outage.
+func (r *Receiver) Cold() bool { return r.capacityShare(r.clock.Now()) < 1 }
 
-// Ill tells whether it is in an outage: down, silent, hung, shut or failing most calls.
-func (r *Receiver) Ill() bool { return r.ill }
+// InOutage reports whether the receiver is down, unreachable, hung, refusing all calls or failing most of them.
+func (r *Receiver) InOutage() bool { return r.inOutage }
 
-// Busy and Waiting count calls; Done is the work done, in µs of a place.
-func (r *Receiver) Busy() int    { return r.busy }
-func (r *Receiver) Waiting() int { return r.queue.len() }
-func (r *Receiver) Done() int64  { return r.done }
+// Busy returns the number of calls that are being processed.
+func (r *Receiver) Busy() int { return r.busyWorkers }
 
-// Took is how long a message of mean work takes just now, in µs.
-func (r *Receiver) Took() float64 {
-	return r.Nature.Work.Mean * r.effects.slow() / (r.speed * r.share(r.clock.Now()))
+// Queued returns the number of calls that wait for a worker.
+func (r *Receiver) Queued() int { return r.queue.len() }
+
+// BusyTime returns the time that workers spent on finished calls, in µs.
+func (r *Receiver) BusyTime() int64 { return r.busyTime }
+
+// ServiceTime returns the current service time of a message of mean work, in µs.
+func (r *Receiver) ServiceTime() float64 {
+	return r.Config.Work.Mean * r.faults.slowFactor() / (r.speed * r.capacityShare(r.clock.Now()))
 }
 
-// Fails is the share of calls that fail fast just now.
-func (r *Receiver) Fails() float64 { return r.effects.errors }
+// FaultErrorShare returns the share of calls that currently fail because of faults.
+func (r *Receiver) FaultErrorShare() float64 { return r.faults.errors }
+
+// Paused reports whether processing is paused.
+func (r *Receiver) Paused() bool { return r.faults.paused > 0 }
 
-// Paused tells whether its work rests.
-func (r *Receiver) Paused() bool { return r.effects.paused > 0 }
+// FreeWorkers returns how many more calls could start without waiting.
+func (r *Receiver) FreeWorkers() int { return max(0, r.Config.Workers-r.busyWorkers-r.queue.len()) }
 
-// Room tells how many further calls would be worked on at once.
-func (r *Receiver) Room() int { return max(0, r.Nature.Places-r.busy-r.queue.len()) }
+// RefusesConns reports whether new connections are refused.
+func (r *Receiver) RefusesConns() bool { return r.faults.down > 0 }
 
-// Refuses and Silent tell the network what a new connection meets.
-func (r *Receiver) Refuses() bool { return r.effects.refusing > 0 }
-func (r *Receiver) Silent() bool  { return r.effects.silent > 0 }
+// Unreachable reports whether new connections get no reply.
+func (r *Receiver) Unreachable() bool { return r.faults.unreachable > 0 }
 
-// LosesAnswer draws whether an answer gets lost on its way back.
+// LosesAnswer draws whether an answer is lost on its way back.
 func (r *Receiver) LosesAnswer() bool {
-	return r.effects.lost > 0 && r.chance.Float64() < r.effects.lost
+	return r.faults.lost > 0 && r.rng.Float64() < r.faults.lost
 }
 
-// Offer brings a call whose last byte has come. Its sink hears of the answer, perhaps before Offer returns.
+// Offer delivers a call to the receiver. The caller may get its answer before Offer returns.
 func (r *Receiver) Offer(c *Call) {
 	now := r.clock.Now()
-	c.at, c.state, c.Came = r, gone, now
-	e := &r.effects
-	if e.refusing > 0 { // the process went while the call was on its way
-		c.Sink.Answered(c, Answer{Kind: Broken})
+	c.receiver, c.state, c.ArrivedAt = r, ended, now
+	f := &r.faults
+	if f.down > 0 { // the process went down while the call was in transit
+		c.Caller.Answered(c, Answer{Kind: Reset})
 		return
 	}
-	r.Route.weigh(now, r, c)
-	if e.refusing > 0 { // that very call pushed it over
-		c.Sink.Answered(c, Answer{Kind: Broken})
+	r.Route.addColdLoad(now, r, c)
+	if f.down > 0 { // this call made the route collapse
+		c.Caller.Answered(c, Answer{Kind: Reset})
 		return
 	}
-	if c.Probe && e.liesToProbes() {
-		r.answerIn(c, OK, r.Nature.ProbeTook)
+	if c.Probe && f.fakesProbes() {
+		r.answerAfter(c, OK, r.Config.ProbeTime)
 		return
 	}
-	if e.silent > 0 || e.hung > 0 {
+	if f.unreachable > 0 || f.hung > 0 {
 		r.hold(c)
 		return
 	}
-	if !c.Sink.Live(c) {
-		c.Sink.Answered(c, Answer{Kind: Over})
+	if !c.Caller.StillNeeded(c) {
+		c.Caller.Answered(c, Answer{Kind: NotNeeded})
 		return
 	}
-	if wait, taken := r.Route.admit(now, r.chance); !taken {
-		if c.Probe { // as on the platform: a probe is answered yes or no, and told no wait
-			wait = 0
+	if retryAfter, admitted := r.Route.admit(now, r.rng); !admitted {
+		if c.Probe { // as on the platform, the answer to a probe has no retry-after
+			retryAfter = 0
 		}
-		c.Sink.Answered(c, Answer{Kind: Full, Wait: wait, Load: r.Route.load(now)})
+		c.Caller.Answered(c, Answer{Kind: Refused, RetryAfter: retryAfter, Limit: r.Route.limitReport(now)})
 		return
 	}
-	if errs := r.Nature.ErrorShare + e.errors; errs > 0 && r.chance.Float64() < errs {
-		r.answerIn(c, Error, r.Nature.ErrorTook)
+	if errorShare := r.Config.ErrorShare + f.errors; errorShare > 0 && r.rng.Float64() < errorShare {
+		r.answerAfter(c, Error, r.Config.ErrorTime)
 		return
 	}
-	if e.resets > 0 && r.chance.Float64() < e.resets {
-		r.answerIn(c, Broken, r.Nature.ErrorTook)
+	if f.resets > 0 && r.rng.Float64() < f.resets {
+		r.answerAfter(c, Reset, r.Config.ErrorTime)
 		return
 	}
 	if c.Probe {
-		r.answerIn(c, OK, r.Nature.ProbeTook)
+		r.answerAfter(c, OK, r.Config.ProbeTime)
 		return
 	}
-	r.enter(c, now)
+	r.startOrQueue(c, now)
 }
 
-func (r *Receiver) enter(c *Call, now int64) {
+func (r *Receiver) startOrQueue(c *Call, now int64) {
 	switch {
-	case r.busy < r.Nature.Places && r.effects.paused == 0:
-		r.begin(c, now)
-	case r.queue.len() < r.Nature.Queue:
+	case r.busyWorkers < r.Config.Workers && r.faults.paused == 0:
+		r.start(c, now)
+	case r.queue.len() < r.Config.QueueSize:
 		c.state = queued
 		r.queue.push(c)
 	default:
-		c.Sink.Answered(c, Answer{Kind: Full, Load: r.Route.load(now)})
+		c.Caller.Answered(c, Answer{Kind: Refused, Limit: r.Route.limitReport(now)})
 	}
 }
 
-func (r *Receiver) begin(c *Call, now int64) {
-	r.busy++
-	r.work = append(r.work, c)
-	work := float64(c.Work) * (1 + r.Nature.Further*float64(c.Messages-1))
-	took := int64(work * r.effects.slow() / (r.speed * r.share(now)))
-	c.state, c.began, c.pausedAt = working, now, r.pausedSum
-	r.dueAt(c, now+max(1, took))
+func (r *Receiver) start(c *Call, now int64) {
+	r.busyWorkers++
+	r.runningCalls = append(r.runningCalls, c)
+	work := float64(c.Work) * (1 + r.Config.BatchItemCost*float64(c.Messages-1))
+	took := int64(work * r.faults.slowFactor() / (r.speed * r.capacityShare(now)))
+	c.state, c.startedAt, c.pausedBefore = running, now, r.totalPaused
+	r.scheduleDone(c, now+max(1, took))
 }
 
-func (r *Receiver) dueAt(c *Call, at int64) {
-	c.turn++
-	c.due = at
-	r.clock.At(at, c, evDone, c.turn)
+func (r *Receiver) scheduleDone(c *Call, at int64) {
+	c.timerSeq++
+	c.doneAt = at
+	r.clock.At(at, c, evDone, c.timerSeq)
 }
 
 const (
-	evDone uint8 = iota
-	evSay        // kinds from here on carry the answer to give
+	evDone   uint8 = iota
+	evAnswer       // plus the AnswerKind to give
 )
 
-// answerIn gives an answer after a while that takes no place.
-func (r *Receiver) answerIn(c *Call, k Kind, after int64) {
+// answerAfter schedules an answer that occupies no worker.
+func (r *Receiver) answerAfter(c *Call, kind AnswerKind, delay int64) {
 	c.state = held
-	c.turn++
-	r.clock.At(r.clock.Now()+after, c, evSay+uint8(k), c.turn)
+	c.timerSeq++
+	r.clock.At(r.clock.Now()+delay, c, evAnswer+uint8(kind), c.timerSeq)
 }
 
-// Handle is for the clock.
-func (c *Call) Handle(kind uint8, turn uint64) {
-	if turn != c.turn || c.state == gone {
+// Handle implements loop.Handler.
+func (c *Call) Handle(kind uint8, timerSeq uint64) {
+	if timerSeq != c.timerSeq || c.state == ended {
 		return
 	}
 	if kind == evDone {
-		c.at.finish(c)
+		c.receiver.finish(c)
 		return
 	}
-	c.state = gone
-	c.Sink.Answered(c, Answer{Kind: Kind(kind - evSay), Load: c.at.Route.load(c.at.clock.Now())})
+	c.state = ended
+	c.Caller.Answered(c, Answer{Kind: AnswerKind(kind - evAnswer), Limit: c.receiver.Route.limitReport(c.receiver.clock.Now())})
 }
 
-// finish ends a call's work. Pauses that fell into it make it longer by just their length.
+// finish ends the processing of a call. Pauses during the call delay its end by exactly their length.
 func (r *Receiver) finish(c *Call) {
-	if r.effects.paused > 0 {
-		return // resume asks for a new time
+	if r.faults.paused > 0 {
+		return // endPause reschedules it
 	}
 	now := r.clock.Now()
-	if rest := r.pausedSum - c.pausedAt; rest > 0 {
-		c.pausedAt = r.pausedSum
-		r.dueAt(c, now+rest)
+	if pauses := r.totalPaused - c.pausedBefore; pauses > 0 {
+		c.pausedBefore = r.totalPaused
+		r.scheduleDone(c, now+pauses)
 		return
 	}
-	r.busy--
-	r.work = slices.DeleteFunc(r.work, func(o *Call) bool { return o == c })
-	c.Used = now - c.began
-	r.done += c.Used
-	r.next(now)
-	if r.effects.hung > 0 || r.effects.silent > 0 { // the work is done, the answer does not come out
+	r.busyWorkers--
+	r.runningCalls = slices.DeleteFunc(r.runningCalls, func(o *Call) bool { return o == c })
+	c.BusyTime = now - c.startedAt
+	r.busyTime += c.BusyTime
+	r.startQueued(now)
+	if r.faults.hung > 0 || r.faults.unreachable > 0 { // the call ran, but its answer cannot be sent
 		r.hold(c)
 		return
 	}
-	c.state = gone
-	c.Sink.Answered(c, Answer{Kind: OK, Load: r.Route.load(now)})
+	c.state = ended
+	c.Caller.Answered(c, Answer{Kind: OK, Limit: r.Route.limitReport(now)})
 }
 
-func (r *Receiver) next(now int64) {
-	for r.busy < r.Nature.Places && r.queue.len() > 0 && r.effects.paused == 0 {
+func (r *Receiver) startQueued(now int64) {
+	for r.busyWorkers < r.Config.Workers && r.queue.len() > 0 && r.faults.paused == 0 {
 		if c := r.queue.pop(); c.state == queued {
-			r.begin(c, now)
+			r.start(c, now)
 		}
 	}
 }
 
-// hold keeps a call without an answer until the trouble is over, or until its sender leaves it.
+// hold leaves a call unanswered until the fault ends or the sender cancels the call.
 func (r *Receiver) hold(c *Call) {
 	c.state = held
-	c.turn++
-	r.stuck = append(r.stuck, c)
+	c.timerSeq++
+	r.heldCalls = append(r.heldCalls, c)
 }
 
-// Leave says that the sender waits for a call no longer. What has begun runs on; what waits may be taken out.
-func (r *Receiver) Leave(c *Call) {
+// Cancel tells the receiver that the sender no longer waits for a call. A running call runs on; a queued one is dropped if
+// the configuration says so.
+func (r *Receiver) Cancel(c *Call) {
 	switch {
-	case c.at == nil:
+	case c.receiver == nil:
 	case c.state == held:
-		c.state = gone
-		c.turn++
-		for i, o := range r.stuck {
+		c.state = ended
+		c.timerSeq++
+		for i, o := range r.heldCalls {
 			if o == c {
-				last := len(r.stuck) - 1
-				r.stuck[i], r.stuck[last] = r.stuck[last], nil
-				r.stuck = r.stuck[:last]
+				last := len(r.heldCalls) - 1
+				r.heldCalls[i], r.heldCalls[last] = r.heldCalls[last], nil
+				r.heldCalls = r.heldCalls[:last]
 				return
 			}
 		}
-	case c.state == queued && r.Nature.Cancels:
-		c.state = gone
+	case c.state == queued && r.Config.DropsCancelled:
+		c.state = ended
 		r.queue.drop(c)
 	}
 }
 
-// breakAll ends every call here: its process is gone.
-func (r *Receiver) breakAll() {
-	r.Since++
+// resetAll resets every call and connection: the process is gone, or its machine is back after being unreachable.
+func (r *Receiver) resetAll() {
+	r.Incarnation++
 	r.Conns = 0
-	var out []*Call
-	out = append(out, r.stuck...)
-	r.stuck = nil
+	var calls []*Call
+	calls = append(calls, r.heldCalls...)
+	r.heldCalls = nil
 	for r.queue.len() > 0 {
-		out = append(out, r.queue.pop())
+		calls = append(calls, r.queue.pop())
 	}
-	out = append(out, r.work...)
-	r.work, r.busy = nil, 0
-	for _, c := range out {
-		if c.state == gone {
+	calls = append(calls, r.runningCalls...)
+	r.runningCalls, r.busyWorkers = nil, 0
+	for _, c := range calls {
+		if c.state == ended {
 			continue
 		}
-		c.state = gone
-		c.turn++
-		c.Sink.Answered(c, Answer{Kind: Broken})
+		c.state = ended
+		c.timerSeq++
+		c.Caller.Answered(c, Answer{Kind: Reset})
 	}
 }
--- a/internal/lab/receivers/receivers_test.go
+++ b/internal/lab/receivers/receivers_test.go
@@ -13,56 +13,56 @@
 
 const ms = int64(1000)
 
-// bench is one route with one receiver, and what came of the calls to it.
-type bench struct {
+// harness is one route with one receiver, and the answers to the calls made to it.
+type harness struct {
 	*loop.Loop
-	r     *Receiver
-	ends  map[*Call]Answer
-	ended map[*Call]int64
-	dead  bool // nobody wants its calls
+	receiver   *Receiver
+	answers    map[*Call]Answer
+	answeredAt map[*Call]int64
+	abandoned  bool // StillNeeded returns false
 }
 
-func (b *bench) Answered(c *Call, a Answer) {
-	if _, twice := b.ends[c]; twice {
+func (h *harness) Answered(c *Call, a Answer) {
+	if _, twice := h.answers[c]; twice {
 		panic("a call was answered twice")
 	}
-	b.ends[c], b.ended[c] = a, b.Now()
+	h.answers[c], h.answeredAt[c] = a, h.Now()
 }
-func (b *bench) Live(*Call) bool { return !b.dead }
+func (h *harness) StillNeeded(*Call) bool { return !h.abandoned }
 
-func begin(n Nature, l Limit) *bench {
-	b := &bench{Loop: loop.New(), ends: map[*Call]Answer{}, ended: map[*Call]int64{}}
-	if n.Work.Shape == "" {
-		n.Work = draw.Times{Shape: draw.Fixed, Mean: 100e3}
+func newHarness(config Config, limit Limit) *harness {
+	h := &harness{Loop: loop.New(), answers: map[*Call]Answer{}, answeredAt: map[*Call]int64{}}
+	if config.Work.Shape == "" {
+		config.Work = draw.Distribution{Shape: draw.Fixed, Mean: 100e3}
 	}
-	rt := NewRoute(0, 7, l, Guard{Overload: 2, Within: 2_000 * ms})
-	b.r = New(1, 0, &n, rt, 1, b, draw.Stream(1, "test", 0))
-	return b
+	rt := NewRoute(0, 7, limit, CollapseThreshold{OverloadFactor: 2, OverloadTime: 2_000 * ms})
+	h.receiver = New(1, 0, &config, rt, 1, h, draw.Stream(1, "test", 0))
+	return h
 }
 
-func (b *bench) call(work int64) *Call {
-	c := &Call{Messages: 1, Work: work, Sink: b}
-	b.r.Offer(c)
+func (h *harness) call(work int64) *Call {
+	c := &Call{Messages: 1, Work: work, Caller: h}
+	h.receiver.Offer(c)
 	return c
 }
 
-// source offers calls as a Poisson stream of exponential work.
-type source struct {
-	*bench
-	left          int
-	waits, losses float64
-	n, answered   float64
-	gaps, works   float64 // sums of what was drawn
-	draws         *drawer
+// generator offers a Poisson stream of calls with exponential work.
+type generator struct {
+	*harness
+	left           int
+	waits, refused float64
+	n, answered    float64
+	gaps, works    float64 // sums of the drawn values
+	draws          *samplers
 }
 
-type drawer struct{ gaps, works func() int64 }
+type samplers struct{ gaps, works func() int64 }
 
-func (s *source) Handle(uint8, uint64) {
-	c := &Call{Messages: 1, Work: s.draws.works(), Sink: s}
+func (s *generator) Handle(uint8, uint64) {
+	c := &Call{Messages: 1, Work: s.draws.works(), Caller: s}
 	s.n++
 	s.works += float64(c.Work)
-	s.r.Offer(c)
+	s.receiver.Offer(c)
 	if s.left--; s.left > 0 {
 		gap := s.draws.gaps()
 		s.gaps += float64(gap)
@@ -70,31 +70,32 @@
 	}
 }
 
-func (s *source) Answered(c *Call, a Answer) {
-	if a.Kind == Full {
-		s.losses++
+func (s *generator) Answered(c *Call, a Answer) {
+	if a.Kind == Refused {
+		s.refused++
 	} else {
 		s.answered++
-		s.waits += float64(s.Now()-c.Came) - float64(c.Work)
+		s.waits += float64(s.Now()-c.ArrivedAt) - float64(c.Work)
 	}
 }
 
-// queue plays a stream of calls and gives the mean wait in service times, the share lost, and the load that was drawn: near
-// 0.95 the wait is so steep in the load that chance in the draws alone would be more than the model's own error.
-func queue(seed uint64, load float64, places, room, calls int) (wait, lost, drawn float64) {
+// simulateQueue simulates a stream of calls and returns the mean wait in service times, the share refused, and the load that
+// was actually drawn: near 0.95 the wait rises so steeply with the load that random variation of the drawn load alone would
+// exceed the model's own error.
+func simulateQueue(seed uint64, load float64, workers, queueSize, calls int) (wait, lost, drawnLoad float64) {
 	const mean = 100e3
-	b := begin(Nature{Work: draw.Times{Shape: draw.Exponential, Mean: mean}, Places: places, Queue: room}, Limit{Counting: Unlimited})
-	gap := draw.Times{Shape: draw.Exponential, Mean: mean / (load * float64(places))}
-	work := draw.Times{Shape: draw.Exponential, Mean: mean}
+	h := newHarness(Config{Work: draw.Distribution{Shape: draw.Exponential, Mean: mean}, Workers: workers, QueueSize: queueSize}, Limit{Algorithm: Unlimited})
+	gap := draw.Distribution{Shape: draw.Exponential, Mean: mean / (load * float64(workers))}
+	work := draw.Distribution{Shape: draw.Exponential, Mean: mean}
 	gs, ws := draw.Stream(seed, "gaps", 0), draw.Stream(seed, "work", 0)
-	s := &source{bench: b, left: calls,
-		draws: &drawer{func() int64 { return gap.Draw(gs) }, func() int64 { return work.Draw(ws) }}}
+	s := &generator{harness: h, left: calls,
+		draws: &samplers{func() int64 { return gap.Draw(gs) }, func() int64 { return work.Draw(ws) }}}
 	s.At(s.Now(), s, 0, 0)
 	s.Drain(math.MaxUint64 / 2)
-	return s.waits / s.answered / (s.works / s.n), s.losses / s.n, s.works / s.gaps / float64(places)
+	return s.waits / s.answered / (s.works / s.n), s.refused / s.n, s.works / s.gaps / float64(workers)
 }
 
-// erlangB is the share lost of c places without a queue, at a load of a in all; erlangC the share that waits.
+// erlangB returns the share of calls lost by c workers without a queue at an offered load of a erlangs.
 func erlangB(c int, a float64) float64 {
 	b := 1.0
 	for k := 1; k <= c; k++ {
@@ -103,180 +104,181 @@
 	return b
 }
 
+// erlangC returns the share of calls that wait, with an unbounded queue.
 func erlangC(c int, a float64) float64 {
 	b := erlangB(c, a)
 	return b / (1 - a/float64(c)*(1-b))
 }
 
-func TestWaitsFollowTheClosedForms(t *testing.T) {
+func TestQueueWaitsMatchErlangC(t *testing.T) {
 	for _, c := range []struct {
-		load   float64
-		places int
-		calls  int
+		load    float64
+		workers int
+		calls   int
 	}{{.5, 1, 300_000}, {.8, 1, 600_000}, {.95, 1, 1_500_000}, {.5, 4, 600_000}, {.8, 4, 600_000}, {.95, 4, 1_500_000}} {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			got, lost, load := queue(1, c.load, c.places, 1<<30, c.calls)
-			want := erlangC(c.places, load*float64(c.places)) / (float64(c.places) * (1 - load)) // in service times
+			got, lost, load := simulateQueue(1, c.load, c.workers, 1<<30, c.calls)
+			want := erlangC(c.workers, load*float64(c.workers)) / (float64(c.workers) * (1 - load)) // in service times
 			assert.InEpsilon(t, c.load, load, 0.005)
-			assert.InEpsilon(t, want, got, 0.03, "load %v, %d places", c.load, c.places)
+			assert.InEpsilon(t, want, got, 0.03, "load %v, %d workers", c.load, c.workers)
 			assert.Zero(t, lost)
 		})
 	}
 }
 
-func TestABoundedQueueLosesWhatErlangSays(t *testing.T) {
+func TestBoundedQueueLossMatchesErlangB(t *testing.T) {
 	for _, load := range []float64{.5, .8, .95} {
-		_, lost, _ := queue(3, load, 5, 0, 600_000)
+		_, lost, _ := simulateQueue(3, load, 5, 0, 600_000)
 		assert.InEpsilon(t, erlangB(5, load*5), lost, 0.03, "load %v", load)
 	}
-	a := .9 // M/M/1/K: one place and K-1 that wait
-	_, lost, _ := queue(4, a, 1, 4, 600_000)
+	a := .9 // M/M/1/K: one running call and K-1 queued ones
+	_, lost, _ := simulateQueue(4, a, 1, 4, 600_000)
 	assert.InEpsilon(t, (1-a)*math.Pow(a, 5)/(1-math.Pow(a, 6)), lost, 0.03)
 }
 
-func TestALimitPerSpanTellsWaitsThatHold(t *testing.T) {
-	b := begin(Nature{Places: 99, Queue: 9}, Limit{Counting: PerSpan, Rate: 3, Span: 1_000 * ms, TellsWait: 1})
-	b.Run(loop.Origin + 200*ms)
+func TestFixedWindowAdmitsAfterRetryAfter(t *testing.T) {
+	h := newHarness(Config{Workers: 99, QueueSize: 9}, Limit{Algorithm: FixedWindow, Rate: 3, Window: 1_000 * ms, RetryAfterShare: 1})
+	h.Run(loop.Origin + 200*ms)
 	for range 3 {
-		b.call(ms)
+		h.call(ms)
 	}
-	refused := b.call(ms)
-	require.Equal(t, Full, b.ends[refused].Kind)
-	b.Run(b.Now() + b.ends[refused].Wait)
-	again := b.call(ms)
-	b.Run(b.Now() + ms)
-	assert.Equal(t, OK, b.ends[again].Kind)
+	refused := h.call(ms)
+	require.Equal(t, Refused, h.answers[refused].Kind)
+	h.Run(h.Now() + h.answers[refused].RetryAfter)
+	again := h.call(ms)
+	h.Run(h.Now() + ms)
+	assert.Equal(t, OK, h.answers[again].Kind)
 }
 
-func TestRefusedCallsMayUseTheLimitUp(t *testing.T) {
-	for _, counts := range []bool{false, true} {
-		b := begin(Nature{Places: 999, Queue: 9}, Limit{Counting: PlainRate, Rate: 10, Depth: .1, RefusedCount: counts})
+func TestRefusedCallsMayUseUpTheLimit(t *testing.T) {
+	for _, countsRefused := range []bool{false, true} {
+		h := newHarness(Config{Workers: 999, QueueSize: 9}, Limit{Algorithm: TokenBucket, Rate: 10, Burst: .1, CountsRefused: countsRefused})
 		ok := 0
-		for range 1000 { // twenty a second at a limit of ten, for 50 s
-			c := b.call(ms)
-			b.Run(b.Now() + 50*ms)
-			if b.ends[c].Kind == OK {
+		for range 1000 { // 20 calls/s at a limit of 10/s, for 50 s
+			c := h.call(ms)
+			h.Run(h.Now() + 50*ms)
+			if h.answers[c].Kind == OK {
 				ok++
 			}
 		}
-		if counts {
-			assert.Less(t, ok, 30, "who calls on holds it shut")
+		if countsRefused {
+			assert.Less(t, ok, 30, "refused calls keep the bucket empty")
 		} else {
 			assert.InDelta(t, 500, ok, 5)
 		}
 	}
 }
 
-func TestATroubleWithinOneServiceTime(t *testing.T) {
-	b := begin(Nature{Places: 1, Queue: 9}, Limit{Counting: Unlimited})
-	paused, hung, silent := &Effect{Kind: Pause}, &Effect{Kind: Hang}, &Effect{Kind: Silence}
-	c := b.call(100 * ms)
-	b.Run(b.Now() + 10*ms)
-	b.r.Strike(paused)
-	b.Run(b.Now() + 20*ms)
-	b.r.Relieve(paused)
-	b.Drain(99)
-	assert.Equal(t, 120*ms, b.ended[c]-loop.Origin, "a pause makes it longer by just its length")
+func TestFaultShorterThanOneServiceTime(t *testing.T) {
+	h := newHarness(Config{Workers: 1, QueueSize: 9}, Limit{Algorithm: Unlimited})
+	paused, hung, silent := &Fault{Kind: Pause}, &Fault{Kind: Hang}, &Fault{Kind: Unreachable}
+	c := h.call(100 * ms)
+	h.Run(h.Now() + 10*ms)
+	h.receiver.AddFault(paused)
+	h.Run(h.Now() + 20*ms)
+	h.receiver.RemoveFault(paused)
+	h.Drain(99)
+	assert.Equal(t, 120*ms, h.answeredAt[c]-loop.Origin, "a pause delays the answer by exactly its length")
 
-	start := b.Now()
-	c = b.call(100 * ms)
-	b.r.Strike(hung)
-	b.Run(start + 50*ms)
-	b.r.Relieve(hung)
-	b.Drain(99)
-	assert.Equal(t, OK, b.ends[c].Kind, "over before the answer was due: nobody noticed")
+	start := h.Now()
+	c = h.call(100 * ms)
+	h.receiver.AddFault(hung)
+	h.Run(start + 50*ms)
+	h.receiver.RemoveFault(hung)
+	h.Drain(99)
+	assert.Equal(t, OK, h.answers[c].Kind, "a hang that ends before the answer is due has no effect")
 
-	c = b.call(100 * ms)
-	b.r.Strike(silent)
-	b.Run(b.Now() + 50*ms)
-	b.r.Relieve(silent)
-	b.Drain(99)
-	assert.Equal(t, Broken, b.ends[c].Kind, "a machine that is back resets its connections")
+	c = h.call(100 * ms)
+	h.receiver.AddFault(silent)
+	h.Run(h.Now() + 50*ms)
+	h.receiver.RemoveFault(silent)
+	h.Drain(99)
+	assert.Equal(t, Reset, h.answers[c].Kind, "a machine that is reachable again resets old connections")
 }
 
-func TestTroublesWhoseEndsCross(t *testing.T) {
-	b := begin(Nature{Places: 2, Queue: 9, ColdShare: .2, WarmIn: 10_000 * ms}, Limit{Counting: Unlimited})
-	a, z, errs := &Effect{Kind: Hang}, &Effect{Kind: Hang}, &Effect{Kind: Errors, Size: 1}
-	c := b.call(10 * ms)
-	b.r.Strike(a)
-	b.Run(b.Now() + 5*ms)
-	b.r.Strike(z)
-	b.r.Strike(errs)
-	b.Run(b.Now() + 50*ms)
-	b.r.Relieve(a)
-	assert.NotContains(t, b.ends, c, "the second hang lasts")
-	assert.True(t, b.r.Ill())
-	b.r.Relieve(z)
-	assert.Equal(t, OK, b.ends[c].Kind)
-	assert.True(t, b.r.Ill(), "most calls fail still")
-	b.r.Relieve(errs)
-	assert.False(t, b.r.Ill())
-	assert.True(t, b.r.Cold())
-	b.r.Relieve(errs) // a second end changes nothing
-	assert.False(t, b.r.Ill())
+func TestOverlappingFaults(t *testing.T) {
+	h := newHarness(Config{Workers: 2, QueueSize: 9, ColdShare: .2, WarmUpTime: 10_000 * ms}, Limit{Algorithm: Unlimited})
+	a, z, errs := &Fault{Kind: Hang}, &Fault{Kind: Hang}, &Fault{Kind: Errors, Magnitude: 1}
+	c := h.call(10 * ms)
+	h.receiver.AddFault(a)
+	h.Run(h.Now() + 5*ms)
+	h.receiver.AddFault(z)
+	h.receiver.AddFault(errs)
+	h.Run(h.Now() + 50*ms)
+	h.receiver.RemoveFault(a)
+	assert.NotContains(t, h.answers, c, "the second hang is still active")
+	assert.True(t, h.receiver.InOutage())
+	h.receiver.RemoveFault(z)
+	assert.Equal(t, OK, h.answers[c].Kind)
+	assert.True(t, h.receiver.InOutage(), "all calls still fail")
+	h.receiver.RemoveFault(errs)
+	assert.False(t, h.receiver.InOutage())
+	assert.True(t, h.receiver.Cold())
+	h.receiver.RemoveFault(errs) // removing it twice changes nothing
+	assert.False(t, h.receiver.InOutage())
 }
 
-func TestRefusalBreaksWhatIsInWorkAndInTheQueue(t *testing.T) {
-	b := begin(Nature{Places: 1, Queue: 9}, Limit{Counting: Unlimited})
-	working, waiting := b.call(10*ms), b.call(10*ms)
-	down := &Effect{Kind: Refuse}
-	b.r.Strike(down)
-	assert.Equal(t, Broken, b.ends[working].Kind)
-	assert.Equal(t, Broken, b.ends[waiting].Kind)
-	since := b.r.Since
-	b.r.Relieve(down)
-	b.Drain(99)
-	next := b.call(10 * ms)
-	b.Drain(99)
-	assert.Equal(t, OK, b.ends[next].Kind)
-	assert.Positive(t, since)
-	assert.Zero(t, b.r.Busy())
+func TestDownResetsRunningAndQueuedCalls(t *testing.T) {
+	h := newHarness(Config{Workers: 1, QueueSize: 9}, Limit{Algorithm: Unlimited})
+	working, waiting := h.call(10*ms), h.call(10*ms)
+	down := &Fault{Kind: Down}
+	h.receiver.AddFault(down)
+	assert.Equal(t, Reset, h.answers[working].Kind)
+	assert.Equal(t, Reset, h.answers[waiting].Kind)
+	incarnation := h.receiver.Incarnation
+	h.receiver.RemoveFault(down)
+	h.Drain(99)
+	next := h.call(10 * ms)
+	h.Drain(99)
+	assert.Equal(t, OK, h.answers[next].Kind)
+	assert.Positive(t, incarnation)
+	assert.Zero(t, h.receiver.Busy())
 }
 
-func TestAColdRouteFallsOverWhenPushed(t *testing.T) {
+func TestColdRouteCollapsesUnderOverload(t *testing.T) {
 	for _, c := range []struct {
-		every   int64
-		knowing bool
-		falls   bool
+		every     int64
+		informed  bool
+		collapses bool
 	}{{250 * ms, true, false}, {25 * ms, true, true}, {25 * ms, false, true}} {
-		b := begin(Nature{Places: 1, Queue: 99, ColdShare: .2, WarmIn: 10_000 * ms}, Limit{Counting: Unlimited})
-		share := -1.0
-		b.r.Route.Fell = func(_ *Route, knowing float64) { share = knowing }
-		down := &Effect{Kind: Refuse}
-		b.r.Strike(down)
-		if c.knowing {
-			b.r.Route.Noticed(0)
+		h := newHarness(Config{Workers: 1, QueueSize: 99, ColdShare: .2, WarmUpTime: 10_000 * ms}, Limit{Algorithm: Unlimited})
+		informedShare := -1.0
+		h.receiver.Route.OnCollapse = func(_ *Route, informed float64) { informedShare = informed }
+		down := &Fault{Kind: Down}
+		h.receiver.AddFault(down)
+		if c.informed {
+			h.receiver.Route.SawOutage(0)
 		}
-		b.r.Relieve(down)
-		for end := b.Now() + 9_000*ms; b.Now() < end; { // ten a second when warm, two at the start
-			b.call(ms)
-			b.Run(b.Now() + c.every)
+		h.receiver.RemoveFault(down)
+		for end := h.Now() + 9_000*ms; h.Now() < end; { // capacity: 10 calls/s when warm, 2 at the start
+			h.call(ms)
+			h.Run(h.Now() + c.every)
 		}
-		assert.Equal(t, c.falls, b.r.Refuses())
+		assert.Equal(t, c.collapses, h.receiver.RefusesConns())
 		switch {
-		case c.falls && c.knowing:
-			assert.InDelta(t, 1, share, 1e-9)
-		case c.falls:
-			assert.Zero(t, share)
+		case c.collapses && c.informed:
+			assert.InDelta(t, 1, informedShare, 1e-9)
+		case c.collapses:
+			assert.Zero(t, informedShare)
 		}
 	}
 }
 
-func TestNobodyWaitsSoNothingRuns(t *testing.T) {
-	b := begin(Nature{Places: 1, Queue: 1}, Limit{Counting: Unlimited})
-	b.dead = true
-	c := b.call(ms)
-	assert.Equal(t, Over, b.ends[c].Kind)
+func TestCallNoLongerNeededDoesNotRun(t *testing.T) {
+	h := newHarness(Config{Workers: 1, QueueSize: 1}, Limit{Algorithm: Unlimited})
+	h.abandoned = true
+	c := h.call(ms)
+	assert.Equal(t, NotNeeded, h.answers[c].Kind)
 }
 
-func TestACallLeftInTheQueueMayBeTakenOut(t *testing.T) {
-	b := begin(Nature{Places: 1, Queue: 2, Cancels: true}, Limit{Counting: Unlimited})
-	first, left, last := b.call(10*ms), b.call(10*ms), b.call(10*ms)
-	b.r.Leave(left)
-	b.r.Leave(first) // begun: it runs on
-	b.Drain(99)
-	assert.Equal(t, 20*ms, b.ended[last]-loop.Origin)
-	assert.NotContains(t, b.ends, left)
-	assert.Contains(t, b.ends, first)
+func TestCancelledCallLeavesTheQueue(t *testing.T) {
+	h := newHarness(Config{Workers: 1, QueueSize: 2, DropsCancelled: true}, Limit{Algorithm: Unlimited})
+	first, left, last := h.call(10*ms), h.call(10*ms), h.call(10*ms)
+	h.receiver.Cancel(left)
+	h.receiver.Cancel(first) // already running: it runs on
+	h.Drain(99)
+	assert.Equal(t, 20*ms, h.answeredAt[last]-loop.Origin)
+	assert.NotContains(t, h.answers, left)
+	assert.Contains(t, h.answers, first)
 }
--- a/internal/lab/receivers/ring.go
+++ b/internal/lab/receivers/ring.go
@@ -1,6 +1,6 @@
 package receivers
 
-// ring is a queue of calls in a circle of growing room; it is emptied as calls are taken.
+// ring is a FIFO queue of calls in a ring buffer that grows as needed.
 type ring struct {
 	calls []*Call
 	head  int
@@ -11,11 +11,11 @@
 
 func (q *ring) push(c *Call) {
 	if q.n == len(q.calls) {
-		wider := make([]*Call, max(4, 2*len(q.calls)))
+		grown := make([]*Call, max(4, 2*len(q.calls)))
 		for i := range q.n {
-			wider[i] = q.calls[(q.head+i)%len(q.calls)]
+			grown[i] = q.calls[(q.head+i)%len(q.calls)]
 		}
-		q.calls, q.head = wider, 0
+		q.calls, q.head = grown, 0
 	}
 	q.calls[(q.head+q.n)%len(q.calls)] = c
 	q.n++
@@ -29,7 +29,7 @@
 	return c
 }
 
-// drop takes one call out, wherever it stands.
+// drop removes a call from any position.
 func (q *ring) drop(c *Call) {
 	for i := range q.n {
 		if q.calls[(q.head+i)%len(q.calls)] != c {
--- a/internal/lab/receivers/route.go
+++ b/internal/lab/receivers/route.go
@@ -6,146 +6,147 @@
 	"math/rand/v2"
 )
 
-// Counting says how a limit counts.
-type Counting string
+// Algorithm is the algorithm of a rate limit.
+type Algorithm string
 
-// The ways to count.
+// The algorithms. The values are those of scenario files.
 const (
-	Unlimited Counting = "none"
-	PlainRate Counting = "rate"    // a bucket that fills evenly
-	PerSpan   Counting = "span"    // so many in each span, all spans beginning together
-	Sliding   Counting = "sliding" // so many in the span before now
+	Unlimited     Algorithm = "none"
+	TokenBucket   Algorithm = "rate"    // refilled continuously
+	FixedWindow   Algorithm = "span"    // a quota of Rate*Window calls in each window; windows of all routes start together
+	SlidingWindow Algorithm = "sliding" // the same quota in the window that ends now
 )
 
-// Limit is what a route takes from all senders together.
+// Limit is a route's rate limit, shared by all senders.
 type Limit struct {
-	Counting     Counting
-	Rate         float64 // calls a second
-	Depth        float64 // seconds of the rate that may come at once; plain rates only
-	Span         int64   // µs
-	RefusedCount bool    // refused calls use the limit up too
-	TellsWait    float64 // share of refusals that tell how long to wait
-	WaitStep     int64   // µs; told waits are rounded up to whole ones of these, 0 for no rounding
+	Algorithm       Algorithm
+	Rate            float64 // calls a second
+	Burst           float64 // size of the token bucket, in seconds of the rate
+	Window          int64   // µs; of the window algorithms
+	CountsRefused   bool    // refused calls use up tokens too
+	RetryAfterShare float64 // share of refusals that carry a retry-after
+	RetryAfterStep  int64   // µs; retry-after is rounded up to a multiple of it, 0 for no rounding
 }
 
-// Check tells what is wrong with a limit.
+// Check returns an error if the limit is invalid.
 func (l Limit) Check() error {
-	switch l.Counting {
+	switch l.Algorithm {
 	case Unlimited:
 		return nil
-	case PlainRate, PerSpan, Sliding:
+	case TokenBucket, FixedWindow, SlidingWindow:
 	default:
-		return fmt.Errorf("no counting %q: none, rate, span, sliding", l.Counting)
+		return fmt.Errorf("no counting %q: none, rate, span, sliding", l.Algorithm)
 	}
 	if l.Rate <= 0 {
-		return fmt.Errorf("counting %q needs a rate above 0", l.Counting)
+		return fmt.Errorf("counting %q needs a rate above 0", l.Algorithm)
 	}
-	if l.Counting != PlainRate && l.Span <= 0 {
-		return fmt.Errorf("counting %q needs a span above 0", l.Counting)
+	if l.Algorithm != TokenBucket && l.Window <= 0 {
+		return fmt.Errorf("counting %q needs a span above 0", l.Algorithm)
 	}
 	return nil
 }
 
-// Guard is when a route that is back from an outage falls over.
-type Guard struct {
-	Overload float64 // times what it can do then
-	Within   int64   // µs for which it is sent so much
+// CollapseThreshold is the load at which a route that is warming up after an outage collapses.
+type CollapseThreshold struct {
+	OverloadFactor float64 // as a multiple of the current capacity of its cold receivers
+	OverloadTime   int64   // µs for which it bears that load
 }
 
-// slack that the guard leaves for chance, in standard deviations of an even stream of calls.
-const slack = 3
+// collapseSlack is added to the threshold for random variation, in standard deviations of a Poisson stream of calls.
+const collapseSlack = 3
 
-// extra is what each further message of a call weighs for the guard, in calls.
-const extra = 0.25
+// extraMessageWeight is the load of each further message of a call, in calls.
+const extraMessageWeight = 0.25
 
-// Route is what shares one limit, one shutting and one guard: a destination, or a receiver where they are apart.
+// Route is the unit that has one rate limit and one collapse threshold, and that refuses all calls as one: a destination,
+// or a single receiver where the destination's kind has limits per receiver.
 type Route struct {
-	Number    int
-	Dst       int64
-	Coming    int                              // calls on their way to it; kept by the network
-	Fell      func(rt *Route, knowing float64) // a cold route fell over; the share of the load from senders that knew
-	limit     Limit
-	guard     Guard
-	receivers []*Receiver
+	Number     int
+	Dst        int64
+	InTransit  int                                    // calls on the way to it; maintained by the network
+	OnCollapse func(rt *Route, informedShare float64) // called on a collapse, with the share of the load from informed senders
+	limit      Limit
+	collapse   CollapseThreshold
+	receivers  []*Receiver
 
-	tokens    float64
-	filledAt  int64
-	spanAt    int64
-	inSpan    float64
-	times     []int64 // a circle of the latest calls taken, for sliding counts
-	timesHead int
+	tokens       float64
+	refilledAt   int64
+	windowStart  int64
+	inWindow     float64
+	admittedAt   []int64 // ring buffer of the latest admitted calls' times, for SlidingWindow
+	admittedHead int
 
-	shut      int     // times that it is shut
-	opensAt   int64   // when the latest shutting ends
-	cut       float64 // what is left of the limit
-	level     float64 // calls on cold receivers that weigh still
-	knowing   float64 // those of them from senders that knew
-	levelAt   int64
-	ills      int
-	saw       map[int]bool // senders that saw the outage; emptied as the next begins
-	outageEnd int64
+	refusing     int     // active RefuseAll faults
+	refusesUntil int64   // latest planned end of a RefuseAll fault
+	limitShare   float64 // factor of all active ReduceLimit faults
+	coldLoad     float64 // recent load on cold receivers, in calls: a leaky bucket
+	informedLoad float64 // the part of coldLoad from informed senders
+	coldLoadAt   int64
+	outages      int          // receivers in an outage
+	informed     map[int]bool // senders that saw a call or probe fail in the outage; cleared when the next outage begins
+	outageEnd    int64
 }
 
-// NewRoute starts a route.
-func NewRoute(number int, dst int64, limit Limit, guard Guard) *Route {
-	rt := &Route{Number: number, Dst: dst, limit: limit, guard: guard, cut: 1, saw: map[int]bool{}}
-	if limit.Counting == Sliding {
-		rt.times = make([]int64, max(1, int(limit.Rate*float64(limit.Span)/1e6)))
+// NewRoute returns a route without receivers; New adds them.
+func NewRoute(number int, dst int64, limit Limit, collapse CollapseThreshold) *Route {
+	rt := &Route{Number: number, Dst: dst, limit: limit, collapse: collapse, limitShare: 1, informed: map[int]bool{}}
+	if limit.Algorithm == SlidingWindow {
+		rt.admittedAt = make([]int64, max(1, int(limit.Rate*float64(limit.Window)/1e6)))
 	}
-	rt.tokens = rt.depth()
+	rt.tokens = rt.burst()
 	return rt
 }
 
-// Receivers are those of the route.
+// Receivers returns the receivers of the route.
 func (rt *Route) Receivers() []*Receiver { return rt.receivers }
 
-// Ill tells whether any receiver of it is in an outage.
-func (rt *Route) Ill() bool { return rt.ills > 0 }
+// InOutage reports whether any receiver of the route is in an outage.
+func (rt *Route) InOutage() bool { return rt.outages > 0 }
 
-// IllSince tells whether there has been an outage at any time since then.
-func (rt *Route) IllSince(at int64) bool {
-	return rt.ills > 0 || rt.outageEnd >= at && rt.outageEnd > 0
+// OutageSince reports whether there was an outage at any time from start until now.
+func (rt *Route) OutageSince(start int64) bool {
+	return rt.outages > 0 || rt.outageEnd >= start && rt.outageEnd > 0
 }
 
-// Noticed says that a sender has learned of a call or probe that failed or was refused in the outage.
-func (rt *Route) Noticed(sender int) { rt.saw[sender] = true }
+// SawOutage records that a call or probe of a sender failed or was refused in the outage: from now on the sender is informed.
+func (rt *Route) SawOutage(sender int) { rt.informed[sender] = true }
 
-// Rate is its limit now, in calls a second; infinite where it has none.
+// Rate returns the current rate limit in calls per second, or infinity if there is none.
 func (rt *Route) Rate() float64 {
-	if rt.limit.Counting == Unlimited {
+	if rt.limit.Algorithm == Unlimited {
 		return math.Inf(1)
 	}
-	return rt.limit.Rate * rt.cut
+	return rt.limit.Rate * rt.limitShare
 }
 
-// Capacity is the messages a second it takes from all senders when warm.
+// Capacity returns the messages per second that the warm route accepts from all senders together.
 func (rt *Route) Capacity() float64 {
 	sum := 0.0
 	for _, r := range rt.receivers {
 		sum += r.Capacity()
 	}
-	if rt.limit.Counting != Unlimited {
+	if rt.limit.Algorithm != Unlimited {
 		sum = min(sum, rt.limit.Rate)
 	}
 	return sum
 }
 
-// Spare is how many calls would pass the limit now, without counting any; for those that see the true state.
-func (rt *Route) Spare(now int64) float64 {
-	if rt.shut > 0 {
+// LimitHeadroom returns how many calls the rate limit would admit now. Real senders cannot see it; policy.Oracle does.
+func (rt *Route) LimitHeadroom(now int64) float64 {
+	if rt.refusing > 0 {
 		return 0
 	}
-	switch rt.limit.Counting {
-	case PlainRate:
-		rt.fill(now)
+	switch rt.limit.Algorithm {
+	case TokenBucket:
+		rt.refill(now)
 		return math.Floor(rt.tokens)
-	case PerSpan:
-		rt.span(now)
-		return rt.perSpan() - rt.inSpan
-	case Sliding:
+	case FixedWindow:
+		rt.advanceWindow(now)
+		return rt.quota() - rt.inWindow
+	case SlidingWindow:
 		free := 0
-		for i := range rt.times {
-			if at := rt.times[(rt.timesHead+i)%len(rt.times)]; at != 0 && at > now-rt.limit.Span {
+		for i := range rt.admittedAt {
+			if at := rt.admittedAt[(rt.admittedHead+i)%len(rt.admittedAt)]; at != 0 && at > now-rt.limit.Window {
 				break
 			}
 			free++
@@ -155,145 +156,145 @@
 	return math.Inf(1)
 }
 
-// ColdRoom is how many calls may come now before the guard is met; infinite where nothing is cold.
-func (rt *Route) ColdRoom(now int64) float64 {
-	can := rt.coldCapacity(now)
-	if can == 0 {
+// ColdHeadroom returns how many more calls the cold receivers bear now, or infinity if none is cold.
+func (rt *Route) ColdHeadroom(now int64) float64 {
+	capacity := rt.coldCapacity(now)
+	if capacity == 0 {
 		return math.Inf(1)
 	}
-	rt.leak(now, can)
-	return rt.guard.Overload*can*float64(rt.guard.Within)/1e6 - rt.level
+	rt.drainColdLoad(now, capacity)
+	return rt.collapse.OverloadFactor*capacity*float64(rt.collapse.OverloadTime)/1e6 - rt.coldLoad
 }
 
-func (rt *Route) depth() float64 { return max(1, rt.Rate()*rt.limit.Depth) }
+func (rt *Route) burst() float64 { return max(1, rt.Rate()*rt.limit.Burst) }
 
-func (rt *Route) fill(now int64) {
-	if rt.filledAt == 0 {
-		rt.filledAt = now
+func (rt *Route) refill(now int64) {
+	if rt.refilledAt == 0 {
+		rt.refilledAt = now
 	}
-	rt.tokens = min(rt.depth(), rt.tokens+rt.Rate()*float64(now-rt.filledAt)/1e6)
-	rt.filledAt = now
+	rt.tokens = min(rt.burst(), rt.tokens+rt.Rate()*float64(now-rt.refilledAt)/1e6)
+	rt.refilledAt = now
 }
 
-func (rt *Route) perSpan() float64 { return max(1, math.Floor(rt.Rate()*float64(rt.limit.Span)/1e6)) }
+func (rt *Route) quota() float64 { return max(1, math.Floor(rt.Rate()*float64(rt.limit.Window)/1e6)) }
 
-func (rt *Route) span(now int64) {
-	if at := now - now%rt.limit.Span; at != rt.spanAt {
-		rt.spanAt, rt.inSpan = at, 0
+func (rt *Route) advanceWindow(now int64) {
+	if at := now - now%rt.limit.Window; at != rt.windowStart {
+		rt.windowStart, rt.inWindow = at, 0
 	}
 }
 
-// admit passes a call through the limit. A refused one may be told a wait, at whose end there is room again.
-func (rt *Route) admit(now int64, chance *rand.Rand) (wait int64, taken bool) {
-	if rt.shut > 0 {
-		wait = rt.opensAt - now
-	} else if wait = rt.count(now); wait == 0 {
+// admit applies the rate limit to a call. A refused call may get a retry-after, the time until there is room again.
+func (rt *Route) admit(now int64, rng *rand.Rand) (retryAfter int64, admitted bool) {
+	if rt.refusing > 0 {
+		retryAfter = rt.refusesUntil - now
+	} else if retryAfter = rt.take(now); retryAfter == 0 {
 		return 0, true
 	}
-	if rt.limit.TellsWait < 1 && chance.Float64() >= rt.limit.TellsWait {
+	if rt.limit.RetryAfterShare < 1 && rng.Float64() >= rt.limit.RetryAfterShare {
 		return 0, false
 	}
-	if step := rt.limit.WaitStep; step > 0 {
-		wait = (wait + step - 1) / step * step
+	if step := rt.limit.RetryAfterStep; step > 0 {
+		retryAfter = (retryAfter + step - 1) / step * step
 	}
-	return max(1, wait), false
+	return max(1, retryAfter), false
 }
 
-// count takes a call into the limit, or gives the time until there is room.
-func (rt *Route) count(now int64) (wait int64) {
-	switch rt.limit.Counting {
-	case PlainRate:
-		rt.fill(now)
+// take counts a call against the limit and returns 0, or returns the time until there is room.
+func (rt *Route) take(now int64) (retryAfter int64) {
+	switch rt.limit.Algorithm {
+	case TokenBucket:
+		rt.refill(now)
 		if rt.tokens >= 1 {
 			rt.tokens--
 			return 0
 		}
-		if rt.limit.RefusedCount {
-			rt.tokens = max(rt.tokens-1, -rt.depth())
+		if rt.limit.CountsRefused {
+			rt.tokens = max(rt.tokens-1, -rt.burst())
 		}
 		return max(1, int64((1-rt.tokens)/rt.Rate()*1e6))
-	case PerSpan:
-		rt.span(now)
-		if rt.inSpan < rt.perSpan() {
-			rt.inSpan++
+	case FixedWindow:
+		rt.advanceWindow(now)
+		if rt.inWindow < rt.quota() {
+			rt.inWindow++
 			return 0
 		}
-		return rt.spanAt + rt.limit.Span - now
-	case Sliding:
-		free := rt.times[rt.timesHead] + rt.limit.Span
-		if rt.times[rt.timesHead] == 0 || free <= now {
-			rt.times[rt.timesHead] = now
-			rt.timesHead = (rt.timesHead + 1) % len(rt.times)
+		return rt.windowStart + rt.limit.Window - now
+	case SlidingWindow:
+		freeAt := rt.admittedAt[rt.admittedHead] + rt.limit.Window
+		if rt.admittedAt[rt.admittedHead] == 0 || freeAt <= now {
+			rt.admittedAt[rt.admittedHead] = now
+			rt.admittedHead = (rt.admittedHead + 1) % len(rt.admittedAt)
 			return 0
 		}
-		return free - now
+		return freeAt - now
 	}
 	return 0
 }
 
-// load reports the limit as it stands.
-func (rt *Route) load(now int64) Load {
-	switch rt.limit.Counting {
-	case PlainRate:
-		rt.fill(now)
-		return Load{Told: true, ShareLeft: max(0, rt.tokens/rt.depth()), Limit: rt.Rate()}
-	case PerSpan:
-		rt.span(now)
-		return Load{Told: true, ShareLeft: 1 - rt.inSpan/rt.perSpan(), Limit: rt.Rate()}
+// limitReport returns the current state of the limit; it is unknown for a sliding window and where there is no limit.
+func (rt *Route) limitReport(now int64) LimitReport {
+	switch rt.limit.Algorithm {
+	case TokenBucket:
+		rt.refill(now)
+		return LimitReport{Known: true, RemainingShare: max(0, rt.tokens/rt.burst()), LimitPerSec: rt.Rate()}
+	case FixedWindow:
+		rt.advanceWindow(now)
+		return LimitReport{Known: true, RemainingShare: 1 - rt.inWindow/rt.quota(), LimitPerSec: rt.Rate()}
 	}
-	return Load{}
+	return LimitReport{}
 }
 
-// coldCapacity is what the receivers that are back and not yet warm can do now, in calls a second.
+// coldCapacity returns the current capacity of the receivers that are warming up, in calls per second.
 func (rt *Route) coldCapacity(now int64) float64 {
 	sum, share := 0.0, 0.0
 	for _, r := range rt.receivers {
-		if s := r.share(now); s < 1 && !r.ill {
+		if s := r.capacityShare(now); s < 1 && !r.inOutage {
 			sum += r.Capacity() * s
 			share += s
 		}
 	}
-	if sum > 0 && rt.limit.Counting != Unlimited {
+	if sum > 0 && rt.limit.Algorithm != Unlimited {
 		sum = min(sum, rt.limit.Rate*share/float64(len(rt.receivers)))
 	}
 	return sum
 }
 
-func (rt *Route) leak(now int64, can float64) {
-	gone := rt.guard.Overload * can * float64(now-rt.levelAt) / 1e6
-	rt.levelAt = now
-	if rt.level <= gone {
-		rt.level, rt.knowing = 0, 0
+func (rt *Route) drainColdLoad(now int64, capacity float64) {
+	drained := rt.collapse.OverloadFactor * capacity * float64(now-rt.coldLoadAt) / 1e6
+	rt.coldLoadAt = now
+	if rt.coldLoad <= drained {
+		rt.coldLoad, rt.informedLoad = 0, 0
 		return
 	}
-	rt.knowing *= 1 - gone/rt.level
-	rt.level -= gone
+	rt.informedLoad *= 1 - drained/rt.coldLoad
+	rt.coldLoad -= drained
 }
 
-// weigh counts a call on a cold receiver, and lets what is pushed past the guard fall over.
-func (rt *Route) weigh(now int64, r *Receiver, c *Call) {
-	if rt.guard.Overload <= 0 || r.ill || r.share(now) >= 1 {
+// addColdLoad adds a call to the load on cold receivers and makes them collapse if that exceeds the threshold.
+func (rt *Route) addColdLoad(now int64, r *Receiver, c *Call) {
+	if rt.collapse.OverloadFactor <= 0 || r.inOutage || r.capacityShare(now) >= 1 {
 		return
 	}
-	can := rt.coldCapacity(now)
-	rt.leak(now, can)
-	w := 1 + extra*float64(max(0, c.Messages-1))
-	rt.level += w
-	if rt.saw[c.Sender] {
-		rt.knowing += w
+	capacity := rt.coldCapacity(now)
+	rt.drainColdLoad(now, capacity)
+	w := 1 + extraMessageWeight*float64(max(0, c.Messages-1))
+	rt.coldLoad += w
+	if rt.informed[c.Sender] {
+		rt.informedLoad += w
 	}
-	bears := rt.guard.Overload * can * float64(rt.guard.Within) / 1e6
-	if rt.level <= bears+slack*math.Sqrt(bears)+1 {
+	threshold := rt.collapse.OverloadFactor * capacity * float64(rt.collapse.OverloadTime) / 1e6
+	if rt.coldLoad <= threshold+collapseSlack*math.Sqrt(threshold)+1 {
 		return
 	}
-	share := rt.knowing / rt.level
-	rt.level, rt.knowing = 0, 0
+	informedShare := rt.informedLoad / rt.coldLoad
+	rt.coldLoad, rt.informedLoad = 0, 0
 	for _, o := range rt.receivers {
-		if !o.ill && o.share(now) < 1 {
-			o.Strike(&Effect{Kind: Fallen})
+		if !o.inOutage && o.capacityShare(now) < 1 {
+			o.AddFault(&Fault{Kind: Collapsed})
 		}
 	}
-	if rt.Fell != nil {
-		rt.Fell(rt, share)
+	if rt.OnCollapse != nil {
+		rt.OnCollapse(rt, informedShare)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -17,42 +17,44 @@
 	"ravenlink/internal/lab/world"
 )
 
-// section is one file's part of the page.
+// section is the part of the page for one result file: a run, a sweep or a comparison.
 type section struct {
 	Name   string
 	Result *world.Result
 	Grid   *experiment.Grid
-	Pair   *experiment.Comparison
+	Paired *experiment.Comparison
 	Plots  []template.HTML
 }
 
-// Heads names the figures of a sweep's table.
-func (s section) Heads() (hs []string) {
+// MetricNames returns the column heads of a sweep's table.
+func (s section) MetricNames() (names []string) {
 	for _, m := range experiment.Metrics {
-		hs = append(hs, m.Name)
+		names = append(names, m.Name)
 	}
-	return hs
+	return names
 }
 
-// Figure shows one place of a sweep's table.
-func (s section) Figure(c experiment.Cell, name string) string { return Plain(c.Figures[name]) }
+// Figure formats the named figure of a cell.
+func (s section) Figure(c experiment.Cell, name string) string {
+	return FormatEstimate(c.Figures[name])
+}
 
-// Verdict says what a difference shows.
-func (s section) Verdict(d experiment.Difference) string { return d.Verdict(s.Pair.A, s.Pair.B) }
+// Verdict states in words what a difference shows.
+func (s section) Verdict(d experiment.Difference) string { return d.Verdict(s.Paired.A, s.Paired.B) }
 
-// Show writes an estimate.
-func (s section) Show(e experiment.Estimate) string { return Plain(e) }
+// Format formats an estimate for the page.
+func (s section) Format(e experiment.Estimate) string { return FormatEstimate(e) }
 
-// Plain writes an estimate with half its interval.
-func Plain(e experiment.Estimate) string {
+// FormatEstimate formats a mean with half the width of its confidence interval.
+func FormatEstimate(e experiment.Estimate) string {
 	if e.N < 2 {
 		return fmt.Sprintf("%.4g", e.Mean)
 	}
-	return fmt.Sprintf("%.4g ± %.2g", e.Mean, e.Half())
+	return fmt.Sprintf("%.4g ± %.2g", e.Mean, e.HalfWidth())
 }
 
-// Write makes the page of all results in a folder, index.html, and the plots as pictures beside it. Files that are no
-// results of ours are named in an error, and the page is made of the others.
+// Write renders all results (*.json) of a directory to index.html and the plots to PNG files in it, and returns the number
+// of PNG files. Files that are not results are listed in the error; the page then contains the others.
 func Write(dir string) (pictures int, err error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -63,20 +65,20 @@
 	}
 	slices.Sort(files)
 	var sections []section
-	var faults []error
+	var readErrs []error
 	for _, f := range files {
-		s, plots, err := read(f)
+		s, plots, err := readResult(f)
 		if err != nil {
-			faults = append(faults, err)
+			readErrs = append(readErrs, err)
 			continue
 		}
 		for i, p := range plots {
-			text, err := svg(p)
+			text, err := renderSVG(p)
 			if err != nil {
 				return pictures, err
 			}
-			s.Plots = append(s.Plots, inline(text))
-			if err := picture(dir, fmt.Sprintf("%s-%d.png", s.Name, i+1), p); err != nil {
+			s.Plots = append(s.Plots, inlineSVG(text))
+			if err := writePNG(dir, fmt.Sprintf("%s-%d.png", s.Name, i+1), p); err != nil {
 				return pictures, err
 			}
 			pictures++
@@ -84,44 +86,44 @@
 		sections = append(sections, s)
 	}
 	var b bytes.Buffer
-	if err := page.Execute(&b, sections); err != nil {
+	if err := pageTemplate.Execute(&b, sections); err != nil {
 		return pictures, fmt.Errorf("report: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "index.html"), b.Bytes(), 0o644); err != nil {
 		return pictures, fmt.Errorf("report: %w", err)
 	}
-	return pictures, errors.Join(faults...)
+	return pictures, errors.Join(readErrs...)
 }
 
-func picture(dir, name string, p *plot.Plot) (err error) {
+func writePNG(dir, name string, p *plot.Plot) (err error) {
 	f, err := os.Create(filepath.Join(dir, name))
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	return png(p, f)
+	return renderPNG(p, f)
 }
 
-// inline strips what stands before the drawing itself.
-func inline(text []byte) template.HTML {
+// inlineSVG strips what precedes the svg element.
+func inlineSVG(text []byte) template.HTML {
 	if at := bytes.Index(text, []byte("<svg")); at > 0 {
 		text = text[at:]
 	}
-	return template.HTML(text) //nolint:gosec // drawn here
+	return template.HTML(text) //nolint:gosec // rendered by this package
 }
 
-// read takes one file for what it is by what it holds.
-func read(file string) (section, []*plot.Plot, error) {
+// readResult reads one file, recognizes its kind of result by the JSON keys in it, and draws its plots.
+func readResult(file string) (section, []*plot.Plot, error) {
 	s := section{Name: strings.TrimSuffix(filepath.Base(file), ".json")}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return s, nil, fmt.Errorf("report: %w", err)
 	}
-	var holds map[string]json.RawMessage
-	if err := json.Unmarshal(text, &holds); err != nil {
+	var keys map[string]json.RawMessage
+	if err := json.Unmarshal(text, &keys); err != nil {
 		return s, nil, fmt.Errorf("%s: %w", file, err)
 	}
-	has := func(name string) bool { _, is := holds[name]; return is }
+	has := func(name string) bool { _, ok := keys[name]; return ok }
 	var plots []*plot.Plot
 	switch {
 	case has("series"):
@@ -133,7 +135,7 @@
 			plots, err = gridPlots(s.Grid)
 		}
 	case has("a") && has("b"):
-		err = json.Unmarshal(text, &s.Pair)
+		err = json.Unmarshal(text, &s.Paired)
 	default:
 		err = errors.New("no result of a run, a sweep or a comparison")
 	}
@@ -157,7 +159,7 @@
 	return ps, nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>ravenlab</title>
 <style>
 body{font:15px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
@@ -172,11 +174,11 @@
 {{.Asked}} asked, {{.Delivered}} delivered, {{.Legs}} legs.
 {{if .Broken}}<span class="broken">Rules broken: {{range $r, $n := .Rules}}{{$r}} {{$n}} {{end}}</span>{{else}}All rules kept.{{end}}</p>
 {{if .Marks}}<details><summary>Troubles</summary><ul>{{range .Marks}}{{if .Begin}}<li>{{.What}}</li>{{end}}{{end}}</ul></details>{{end}}{{end}}
-{{with .Grid}}<table><tr>{{range .Axes}}<th>{{.Path}}</th>{{end}}{{range $s.Heads}}<th>{{.}}</th>{{end}}</tr>
-{{range $c := .Cells}}<tr>{{range .Values}}<td>{{.}}</td>{{end}}{{range $s.Heads}}<td>{{$s.Figure $c .}}</td>{{end}}</tr>{{end}}</table>{{end}}
-{{with .Pair}}<p>{{.Scenario}}: {{.A}} and {{.B}} on the same {{.Seeds}} days.</p>
+{{with .Grid}}<table><tr>{{range .Axes}}<th>{{.Path}}</th>{{end}}{{range $s.MetricNames}}<th>{{.}}</th>{{end}}</tr>
+{{range $c := .Cells}}<tr>{{range .Values}}<td>{{.}}</td>{{end}}{{range $s.MetricNames}}<td>{{$s.Figure $c .}}</td>{{end}}</tr>{{end}}</table>{{end}}
+{{with .Paired}}<p>{{.Scenario}}: {{.A}} and {{.B}} on the same {{.Seeds}} days.</p>
 <table><tr><th>figure</th><th>{{.A}}</th><th>{{.B}}</th><th>difference</th><th></th></tr>
-{{range .Figures}}<tr><td>{{.Metric}}</td><td>{{$s.Show .A}}</td><td>{{$s.Show .B}}</td><td>{{$s.Show .BLessA}}</td><td>{{$s.Verdict .}}</td></tr>{{end}}</table>{{end}}
+{{range .Figures}}<tr><td>{{.Metric}}</td><td>{{$s.Format .A}}</td><td>{{$s.Format .B}}</td><td>{{$s.Format .BMinusA}}</td><td>{{$s.Verdict .}}</td></tr>{{end}}</table>{{end}}
 {{range .Plots}}{{.}}{{end}}{{end}}
 </html>
 `))
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -15,34 +15,34 @@
 	"ravenlink/internal/lab/world"
 )
 
-func TestAPageHoldsAllAndNamesWhatItCannotRead(t *testing.T) {
+func TestPageContainsResultsAndErrorsNameUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
-	put := func(name string, v any) {
+	writeResult := func(name string, v any) {
 		text, err := json.Marshal(v)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), text, 0o600))
 	}
 	s, err := scenario.Read("../../../scenarios/rainy-morning.toml")
 	require.NoError(t, err)
-	s.Length, s.Troubles[0].At, s.Troubles[1].At = 20e6, 5e6, 8e6
-	r, err := world.Play(&s, 1, "module", nil)
+	s.Length, s.Faults[0].At, s.Faults[1].At = 20e6, 5e6, 8e6
+	r, err := world.Run(&s, 1, "module", nil)
 	require.NoError(t, err)
-	put("run.json", r)
+	writeResult("run.json", r)
 	g, err := experiment.Sweep(context.Background(), &s, "none", []experiment.Axis{{Path: "team.senders", Values: []string{"1", "2"}}}, 2, nil)
 	require.NoError(t, err)
-	put("grid.json", g)
+	writeResult("grid.json", g)
 	c, err := experiment.Compare(context.Background(), &s, "none", "module", 2, nil)
 	require.NoError(t, err)
-	put("pair.json", c)
-	put("other.json", map[string]int{"x": 1})
+	writeResult("pair.json", c)
+	writeResult("other.json", map[string]int{"x": 1})
 
 	n, err := Write(dir)
 	assert.ErrorContains(t, err, "other.json: no result")
 	assert.Equal(t, 10, n)
 	page, err := os.ReadFile(filepath.Join(dir, "index.html"))
 	require.NoError(t, err)
-	for _, holds := range []string{"<svg", "run", "team.senders", "no difference", "All rules kept"} {
-		assert.Contains(t, string(page), holds)
+	for _, want := range []string{"<svg", "run", "team.senders", "no difference", "All rules kept"} {
+		assert.Contains(t, string(page), want)
 	}
 	picture, err := os.ReadFile(filepath.Join(dir, "run-1.png"))
 	require.NoError(t, err)
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules judges what senders do by the six rules. It sees what passes between a sender and the world, and nothing
-// of the sender's reasons. It has no I/O and no clock.
+// Package rules checks the behaviour of senders against six rules. It sees only the events between a sender and the
+// simulated world, not the sender's own state. It does no I/O and has no clock.
 package rules
 
 import (
@@ -8,27 +8,27 @@
 	"ravenlink/choice"
 )
 
-// Rule is one of the six.
+// Rule is the name of one of the six rules, as reports have it.
 type Rule string
 
 // The rules.
 const (
-	Answer Rule = "answer" // one final answer in time, nothing sent after it
-	Effect Rule = "effect" // no effect twice
-	Drain  Rule = "drain"  // nothing new to what drains or is gone
-	Return Rule = "return" // what comes back from an outage is not pushed over
-	Order  Rule = "order"  // messages of one key in turn
-	Wait   Rule = "wait"   // told waits are heeded
+	Answer Rule = "answer" // a message gets one final answer in time, and no leg is sent after it
+	Effect Rule = "effect" // a message takes effect at most once, as far as its class demands
+	Drain  Rule = "drain"  // no legs to receivers that drain or are no longer listed
+	Return Rule = "return" // receivers that come back from an outage are not overloaded
+	Order  Rule = "order"  // messages of one key are delivered in order
+	Wait   Rule = "wait"   // a retry-after is respected
 )
 
-// All lists them.
+// All lists the rules in the order in which they are reported.
 var All = []Rule{Answer, Effect, Drain, Return, Order, Wait}
 
-// mostKept is how many breaches are kept in words; all are counted.
-const mostKept = 20
+// maxKept is how many violations a Checker keeps in full; it counts all.
+const maxKept = 20
 
-// Breach is a rule broken.
-type Breach struct {
+// Violation describes a violation of a rule.
+type Violation struct {
 	Rule    Rule   `json:"rule"`
 	At      int64  `json:"at_us"`
 	Sender  int    `json:"sender"`
@@ -37,37 +37,37 @@
 	What    string `json:"what"`
 }
 
-// Figures are what the rules leave open, in µs.
-type Figures struct {
-	AnswerGrace, DrainGrace, WaitSlack, KeyRest int64
+// Tolerances are the grace periods that the rules grant, in µs.
+type Tolerances struct {
+	AnswerGrace, DrainGrace, RetryAfterSlack, KeyQuietTime int64
 }
 
-// Judge keeps the breaches of a run.
-type Judge struct {
-	figures Figures
-	Counts  map[Rule]int
-	Kept    []Breach // the first few
+// Checker records the violations of a run.
+type Checker struct {
+	tolerances Tolerances
+	Counts     map[Rule]int
+	Violations []Violation // the first maxKept
 }
 
-// NewJudge starts a run.
-func NewJudge(f Figures) *Judge { return &Judge{figures: f, Counts: map[Rule]int{}} }
+// NewChecker returns a Checker for a new run.
+func NewChecker(t Tolerances) *Checker { return &Checker{tolerances: t, Counts: map[Rule]int{}} }
 
-func (j *Judge) broken(b Breach) {
-	j.Counts[b.Rule]++
-	if len(j.Kept) < mostKept {
-		j.Kept = append(j.Kept, b)
+func (c *Checker) add(v Violation) {
+	c.Counts[v.Rule]++
+	if len(c.Violations) < maxKept {
+		c.Violations = append(c.Violations, v)
 	}
 }
 
-// Broken counts all breaches.
-func (j *Judge) Broken() (n int) {
-	for _, c := range j.Counts {
-		n += c
+// Total returns the number of violations of all rules.
+func (c *Checker) Total() (n int) {
+	for _, count := range c.Counts {
+		n += count
 	}
 	return n
 }
 
-// Leg is one that went out.
+// Leg is a leg that was sent.
 type Leg struct {
 	At      int64
 	Zone    int
@@ -77,21 +77,22 @@
 
 func (l Leg) mayHaveRun() bool { return !l.Settled || !l.Outcome.NeverRan() }
 
-// Message is one that a sender has taken.
+// Message is a message that a sender has accepted.
 type Message struct {
-	ID      string
-	Dst     int64
-	Lane    *choice.Lane
-	Expires int64
-	Legs    []Leg
-	Ended   bool // it has its final answer, or its sender knows that nothing is owed
-	line    *line
+	ID       string
+	Dst      int64
+	Class    *choice.Class
+	Expires  int64
+	Legs     []Leg
+	Ended    bool // it has its final answer, or its sender knows that none is expected
+	keyQueue *keyQueue
 }
 
-// MayHaveRun tells whether any leg may have.
-func (m *Message) MayHaveRun() bool { return m.risky() != nil }
+// MayHaveRun reports whether any leg of the message may have run.
+func (m *Message) MayHaveRun() bool { return m.firstUnsafeLeg() != nil }
 
-func (m *Message) risky() *Leg {
+// firstUnsafeLeg returns the first leg that may have run, or nil.
+func (m *Message) firstUnsafeLeg() *Leg {
 	for i := range m.Legs {
 		if m.Legs[i].mayHaveRun() {
 			return &m.Legs[i]
@@ -109,175 +110,178 @@
 	return n
 }
 
-type line struct {
-	msgs   []*Message
-	rest   int64
-	restBy *Message // its own further legs need not wait for it
+// keyQueue holds the unfinished messages of one order key, oldest first.
+type keyQueue struct {
+	msgs       []*Message
+	quietUntil int64
+	quietAfter *Message // the message whose leg started the quiet time; its own further legs need not wait
 }
 
-type told struct{ at, until int64 }
+// retryAfter is the time at which a retry-after was received and the time until which it holds.
+type retryAfter struct{ at, until int64 }
 
-// Desk is what one sender has been told since it started. Its tables are as large as there are routes, receivers and keys.
-type Desk struct {
-	sender   int
-	waits    map[int]told     // by route
-	unlisted map[uint32]int64 // when it was told so
-	lines    map[string]*line
+// SenderView is what one sender has learned from others since it started. The sizes of its maps are bounded by the numbers
+// of routes, receivers and keys.
+type SenderView struct {
+	sender      int
+	retryAfters map[int]retryAfter // by route
+	unlisted    map[uint32]int64   // when the sender learned that the receiver is not listed
+	keyQueues   map[string]*keyQueue
 }
 
-// NewDesk is for a sender that starts.
-func NewDesk(sender int) *Desk {
-	return &Desk{sender: sender, waits: map[int]told{}, unlisted: map[uint32]int64{}, lines: map[string]*line{}}
+// NewSenderView returns the view of a sender that has just started.
+func NewSenderView(sender int) *SenderView {
+	return &SenderView{sender: sender, retryAfters: map[int]retryAfter{}, unlisted: map[uint32]int64{}, keyQueues: map[string]*keyQueue{}}
 }
 
-// Listed says what a sender was told of a receiver.
-func (d *Desk) Listed(receiver uint32, listed bool, now int64) {
+// Listed records that the sender learned whether a receiver is listed.
+func (v *SenderView) Listed(receiver uint32, listed bool, now int64) {
 	if listed {
-		delete(d.unlisted, receiver)
-	} else if _, already := d.unlisted[receiver]; !already {
-		d.unlisted[receiver] = now
+		delete(v.unlisted, receiver)
+	} else if _, already := v.unlisted[receiver]; !already {
+		v.unlisted[receiver] = now
 	}
 }
 
-// Took says that a sender took a message. key is empty for one without an order.
-func (d *Desk) Took(m *Message, key string) {
+// Accepted records that the sender accepted a message. key is empty for an unordered message.
+func (v *SenderView) Accepted(m *Message, key string) {
 	if key == "" {
 		return
 	}
-	if m.line = d.lines[key]; m.line == nil {
-		m.line = &line{}
-		d.lines[key] = m.line
+	if m.keyQueue = v.keyQueues[key]; m.keyQueue == nil {
+		m.keyQueue = &keyQueue{}
+		v.keyQueues[key] = m.keyQueue
 	}
-	m.line.msgs = append(m.line.msgs, m)
+	m.keyQueue.msgs = append(m.keyQueue.msgs, m)
 }
 
-// leave lets the next of a key go, once a message is over and nothing of it is out.
-func (m *Message) leave() {
-	if m.line == nil || !m.Ended || m.openLegs() > 0 {
+// releaseKey removes an ended message without open legs from its key's queue, so that the next may be sent.
+func (m *Message) releaseKey() {
+	if m.keyQueue == nil || !m.Ended || m.openLegs() > 0 {
 		return
 	}
-	for i, o := range m.line.msgs {
+	for i, o := range m.keyQueue.msgs {
 		if o == m {
-			m.line.msgs = append(m.line.msgs[:i], m.line.msgs[i+1:]...)
+			m.keyQueue.msgs = append(m.keyQueue.msgs[:i], m.keyQueue.msgs[i+1:]...)
 			return
 		}
 	}
 }
 
-// Sent judges a leg and writes it down.
-func (j *Judge) Sent(d *Desk, m *Message, receiver uint32, zone, route int, now int64) {
-	say := func(r Rule, format string, a ...any) {
-		j.broken(Breach{Rule: r, At: now, Sender: d.sender, Message: m.ID, Dst: m.Dst, What: fmt.Sprintf(format, a...)})
+// Sent checks and records a leg.
+func (c *Checker) Sent(v *SenderView, m *Message, receiver uint32, zone, route int, now int64) {
+	report := func(r Rule, format string, a ...any) {
+		c.add(Violation{Rule: r, At: now, Sender: v.sender, Message: m.ID, Dst: m.Dst, What: fmt.Sprintf(format, a...)})
 	}
 	if m.Ended {
-		say(Answer, "a leg went out after the final answer")
+		report(Answer, "a leg went out after the final answer")
 	}
-	j.onEffect(m, zone, now, say)
-	if at, gone := d.unlisted[receiver]; gone && now > at+j.figures.DrainGrace {
-		say(Drain, "receiver %d drains or is gone, told %d ms ago", receiver, (now-at)/1000)
+	c.checkEffect(m, zone, now, report)
+	if at, isUnlisted := v.unlisted[receiver]; isUnlisted && now > at+c.tolerances.DrainGrace {
+		report(Drain, "receiver %d drains or is gone, told %d ms ago", receiver, (now-at)/1000)
 	}
-	if w := d.waits[route]; now < w.until-j.figures.WaitSlack && now > w.at {
-		say(Wait, "a wait that was told runs for %d ms more", (w.until-now)/1000)
+	if latest := v.retryAfters[route]; now < latest.until-c.tolerances.RetryAfterSlack && now > latest.at {
+		report(Wait, "a wait that was told runs for %d ms more", (latest.until-now)/1000)
 	}
-	if l := m.line; l != nil {
+	if q := m.keyQueue; q != nil {
 		switch {
-		case l.msgs[0] != m:
-			say(Order, "message %s of the same key is not over", l.msgs[0].ID)
-		case now < l.rest && l.restBy != m:
-			say(Order, "the key rests for %d ms more", (l.rest-now)/1000)
+		case q.msgs[0] != m:
+			report(Order, "message %s of the same key is not over", q.msgs[0].ID)
+		case now < q.quietUntil && q.quietAfter != m:
+			report(Order, "the key rests for %d ms more", (q.quietUntil-now)/1000)
 		}
 	}
 	m.Legs = append(m.Legs, Leg{At: now, Zone: zone})
 }
 
-func (j *Judge) onEffect(m *Message, zone int, now int64, say func(Rule, string, ...any)) {
-	l := m.risky()
-	if l == nil || m.Lane.Repeat == choice.Retriable {
+// checkEffect checks that a further leg cannot take effect a second time.
+func (c *Checker) checkEffect(m *Message, zone int, now int64, report func(Rule, string, ...any)) {
+	first := m.firstUnsafeLeg()
+	if first == nil || m.Class.RetryMode == choice.Retriable {
 		return
 	}
 	switch {
-	case m.Lane.Repeat == choice.NonRetriable:
-		say(Effect, "an earlier leg may have run, and the lane allows no repeat")
-	case now > l.At+m.Lane.Window:
-		say(Effect, "the first leg that may have run went out %d ms ago; its key is forgotten", (now-l.At)/1000)
-	case !m.Lane.AnyInDst && zone != l.Zone:
-		say(Effect, "the key is known in zone %d only", l.Zone)
+	case m.Class.RetryMode == choice.NonRetriable:
+		report(Effect, "an earlier leg may have run, and the lane allows no repeat")
+	case now > first.At+m.Class.KeyWindow:
+		report(Effect, "the first leg that may have run went out %d ms ago; its key is forgotten", (now-first.At)/1000)
+	case !m.Class.DstWideKeys && zone != first.Zone:
+		report(Effect, "the key is known in zone %d only", first.Zone)
 	}
 }
 
-// Probed judges a probe.
-func (j *Judge) Probed(d *Desk, dst int64, route int, now int64) {
-	if w := d.waits[route]; now < w.until-j.figures.WaitSlack && now > w.at {
-		j.broken(Breach{Rule: Wait, At: now, Sender: d.sender, Dst: dst, What: "a probe while a wait that was told runs"})
+// Probed checks a probe.
+func (c *Checker) Probed(v *SenderView, dst int64, route int, now int64) {
+	if latest := v.retryAfters[route]; now < latest.until-c.tolerances.RetryAfterSlack && now > latest.at {
+		c.add(Violation{Rule: Wait, At: now, Sender: v.sender, Dst: dst, What: "a probe while a wait that was told runs"})
 	}
 }
 
-// Told says that a sender has been told to wait.
-func (d *Desk) Told(route int, wait, now int64) {
-	if w := d.waits[route]; now+wait > w.until {
-		d.waits[route] = told{now, now + wait}
+// RetryAfterReceived records that the sender received a retry-after for a route; the latest end counts.
+func (v *SenderView) RetryAfterReceived(route int, duration, now int64) {
+	if latest := v.retryAfters[route]; now+duration > latest.until {
+		v.retryAfters[route] = retryAfter{now, now + duration}
 	}
 }
 
-// Settled says how a leg went. final says that nothing more is owed.
-func (j *Judge) Settled(m *Message, number int, o choice.Outcome, final bool, now int64) {
-	m.Legs[number].Settled, m.Legs[number].Outcome = true, o
-	if m.line != nil && (o == choice.TimedOut || o == choice.Reset || o == choice.Cancelled) {
-		m.line.rest, m.line.restBy = now+j.figures.KeyRest, m
+// Settled records the outcome of a leg. final means that the message needs no further answer.
+func (c *Checker) Settled(m *Message, leg int, o choice.Outcome, final bool, now int64) {
+	m.Legs[leg].Settled, m.Legs[leg].Outcome = true, o
+	if m.keyQueue != nil && (o == choice.TimedOut || o == choice.Reset || o == choice.Cancelled) {
+		m.keyQueue.quietUntil, m.keyQueue.quietAfter = now+c.tolerances.KeyQuietTime, m
 	}
 	if final {
 		m.Ended = true
 	}
-	m.leave()
+	m.releaseKey()
 }
 
-// Withdrawn says that a sender has learned that nobody wants a message.
+// Withdrawn records that the sender learned that the message is no longer wanted.
 func (m *Message) Withdrawn() {
 	m.Ended = true
-	m.leave()
+	m.releaseKey()
 }
 
-// Ended judges a final answer.
-func (j *Judge) Ended(d *Desk, m *Message, pushedBack bool, now int64) {
-	say := func(r Rule, what string) {
-		j.broken(Breach{Rule: r, At: now, Sender: d.sender, Message: m.ID, Dst: m.Dst, What: what})
+// Ended checks a final answer.
+func (c *Checker) Ended(v *SenderView, m *Message, rejected bool, now int64) {
+	report := func(r Rule, what string) {
+		c.add(Violation{Rule: r, At: now, Sender: v.sender, Message: m.ID, Dst: m.Dst, What: what})
 	}
 	if m.Ended {
-		say(Answer, "a second final answer")
+		report(Answer, "a second final answer")
 		return
 	}
 	m.Ended = true
-	if now > m.Expires+j.figures.AnswerGrace {
-		say(Answer, fmt.Sprintf("answered %d ms after its time was up", (now-m.Expires)/1000))
+	if now > m.Expires+c.tolerances.AnswerGrace {
+		report(Answer, fmt.Sprintf("answered %d ms after its time was up", (now-m.Expires)/1000))
 	}
-	if pushedBack && m.MayHaveRun() {
+	if rejected && m.MayHaveRun() {
 		switch {
-		case m.Lane.Repeat == choice.NonRetriable:
-			say(Effect, "pushed back, though a leg may have run")
-		case m.Lane.Repeat == choice.Keyed && !m.Lane.AnyInDst:
-			say(Effect, "pushed back, though a leg may have run and its key is not known everywhere")
+		case m.Class.RetryMode == choice.NonRetriable:
+			report(Effect, "pushed back, though a leg may have run")
+		case m.Class.RetryMode == choice.Keyed && !m.Class.DstWideKeys:
+			report(Effect, "pushed back, though a leg may have run and its key is not known everywhere")
 		}
 	}
-	m.leave()
+	m.releaseKey()
 }
 
-// Unanswered judges a message that is with a running sender still.
-func (j *Judge) Unanswered(d *Desk, m *Message, now int64) {
-	if !m.Ended && now > m.Expires+j.figures.AnswerGrace {
-		j.broken(Breach{Rule: Answer, At: now, Sender: d.sender, Message: m.ID, Dst: m.Dst,
+// Unanswered checks a message that a running sender still has at the end of the run.
+func (c *Checker) Unanswered(v *SenderView, m *Message, now int64) {
+	if !m.Ended && now > m.Expires+c.tolerances.AnswerGrace {
+		c.add(Violation{Rule: Answer, At: now, Sender: v.sender, Message: m.ID, Dst: m.Dst,
 			What: fmt.Sprintf("no final answer %d ms after its time was up", (now-m.Expires)/1000)})
 	}
 }
 
-// mostInnocent is the share of a load that pushed a route over, from senders that knew nothing of its outage, under which
-// the rule is broken.
-const mostInnocent = 1.0 / 3
+// minUninformed is the share of the load from uninformed senders above which a collapse violates no rule. A sender is
+// informed if it had seen a call or probe fail or be refused in the outage.
+const minUninformed = 1.0 / 3
 
-// Fell judges a route that was pushed over while cold. knowing is the share of the load from senders that had seen a call
-// or probe fail or be refused there.
-func (j *Judge) Fell(dst int64, knowing float64, now int64) {
-	if 1-knowing <= mostInnocent {
-		j.broken(Breach{Rule: Return, At: now, Sender: -1, Dst: dst,
-			What: fmt.Sprintf("pushed over as it came back, %.0f%% of the load from senders that knew", 100*knowing)})
+// Collapsed checks the collapse of a cold route. informedShare is the share of the load from informed senders.
+func (c *Checker) Collapsed(dst int64, informedShare float64, now int64) {
+	if 1-informedShare <= minUninformed {
+		c.add(Violation{Rule: Return, At: now, Sender: -1, Dst: dst,
+			What: fmt.Sprintf("pushed over as it came back, %.0f%% of the load from senders that knew", 100*informedShare)})
 	}
 }
--- a/internal/lab/scenario/decode.go
+++ b/internal/lab/scenario/decode.go
@@ -13,7 +13,7 @@
 	"ravenlink/internal/strict"
 )
 
-// Read decodes a file and checks it. Several faults come joined, in the order of the file.
+// Read decodes a scenario file and checks it. Several errors are returned joined.
 func Read(path string) (Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -22,63 +22,63 @@
 	return Decode(path, text)
 }
 
-// Decode is Read for a text.
+// Decode is like Read for the text of a file; file is its name in errors.
 func Decode(file string, text []byte) (Scenario, error) {
-	s := Usual()
-	places, counts := strict.Locate(text)
+	s := Default()
+	positions, counts := strict.Locate(text)
 	for range counts["lane"] {
-		s.Lanes = append(s.Lanes, usualLane())
+		s.Classes = append(s.Classes, defaultClass())
 	}
 	for range counts["kind"] {
-		s.Kinds = append(s.Kinds, usualKind())
+		s.Kinds = append(s.Kinds, defaultKind())
 	}
 	if err := decodeOver(text, &s); err != nil {
-		return s, strict.Faults(file, reflect.TypeFor[Scenario](), err)
+		return s, strict.DecodeErrors(file, reflect.TypeFor[Scenario](), err)
 	}
 	if s.Version != Version {
-		p := places["version"]
-		return s, strict.Fault{File: file, Line: p.Line, Column: p.Column, Path: "version", What: fmt.Sprintf("this form is version %d, not %d", Version, s.Version)}
+		p := positions["version"]
+		return s, strict.SettingError{File: file, Line: p.Line, Column: p.Column, Path: "version", What: fmt.Sprintf("the file format is version %d, not %d", Version, s.Version)}
 	}
-	var faults []error
+	var errs []error
 	s.check(func(path, what string) {
-		p := places.Near(path)
-		faults = append(faults, strict.Fault{File: file, Line: p.Line, Column: p.Column, Path: path, What: what})
+		p := positions.Nearest(path)
+		errs = append(errs, strict.SettingError{File: file, Line: p.Line, Column: p.Column, Path: path, What: what})
 	})
-	return s, errors.Join(faults...)
+	return s, errors.Join(errs...)
 }
 
-// decodeOver decodes strictly over what is there already. The library empties the entries of arrays of tables, so those
-// are decoded apart, each over its own usual figures.
+// decodeOver decodes strictly and keeps the values of s whose keys the text omits. The TOML library zeroes the entries of
+// arrays of tables, so these are decoded separately, each over its default values.
 func decodeOver(text []byte, s *Scenario) error {
-	usualLanes, usualKinds := s.Lanes, s.Kinds
-	s.Lanes, s.Kinds = nil, nil
+	classes, kinds := s.Classes, s.Kinds
+	s.Classes, s.Kinds = nil, nil
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(s); err != nil {
 		return err
 	}
 	var raw struct {
-		Lanes []map[string]any `toml:"lane"`
-		Kinds []map[string]any `toml:"kind"`
+		Classes []map[string]any `toml:"lane"`
+		Kinds   []map[string]any `toml:"kind"`
 	}
 	if err := toml.Unmarshal(text, &raw); err != nil {
 		return err
 	}
-	for i := range usualLanes {
-		if err := lay(raw.Lanes[i], &usualLanes[i]); err != nil {
+	for i := range classes {
+		if err := decodeEntry(raw.Classes[i], &classes[i]); err != nil {
 			return err
 		}
 	}
-	for i := range usualKinds {
-		if err := lay(raw.Kinds[i], &usualKinds[i]); err != nil {
+	for i := range kinds {
+		if err := decodeEntry(raw.Kinds[i], &kinds[i]); err != nil {
 			return err
 		}
 	}
-	s.Lanes, s.Kinds = usualLanes, usualKinds
+	s.Classes, s.Kinds = classes, kinds
 	return nil
 }
 
-func lay(entry map[string]any, over any) error {
+func decodeEntry(entry map[string]any, over any) error {
 	text, err := toml.Marshal(entry)
 	if err != nil {
 		return err
@@ -86,23 +86,23 @@
 	return toml.Unmarshal(text, over)
 }
 
-// Set changes one setting by its path, such as team.senders or trouble.0.size.
+// Set changes the setting with the given path, such as team.senders or trouble.0.size, and checks the scenario again.
 func (s *Scenario) Set(path, value string) error {
 	if err := strict.Set(s, path, value); err != nil {
 		return err
 	}
-	var faults []error
-	s.check(func(path, what string) { faults = append(faults, fmt.Errorf("%s: %s", path, what)) })
-	return errors.Join(faults...)
+	var errs []error
+	s.check(func(path, what string) { errs = append(errs, fmt.Errorf("%s: %s", path, what)) })
+	return errors.Join(errs...)
 }
 
-// Clone copies a scenario so that either can be changed alone.
+// Clone returns a copy whose classes, kinds and faults can be replaced without changing those of s.
 func (s Scenario) Clone() Scenario {
-	s.Lanes, s.Kinds, s.Troubles = slices.Clone(s.Lanes), slices.Clone(s.Kinds), slices.Clone(s.Troubles)
+	s.Classes, s.Kinds, s.Faults = slices.Clone(s.Classes), slices.Clone(s.Kinds), slices.Clone(s.Faults)
 	return s
 }
 
-// Encode writes a scenario as a file that Decode reads.
+// Encode returns the scenario as TOML that Decode accepts.
 func (s Scenario) Encode() ([]byte, error) {
 	var b bytes.Buffer
 	e := toml.NewEncoder(&b)
--- a/internal/lab/world/call.go
+++ b/internal/lab/world/call.go
@@ -9,95 +9,98 @@
 	"ravenlink/internal/lab/receivers"
 )
 
-// conn is a connection from a sender to a receiver, as one of its starts knows it.
+// conn is a connection from a sender to one incarnation of a receiver's process.
 type conn struct {
-	s         *sender
-	to        *receiver
-	model     *receivers.Receiver
-	since     uint64
-	idleSince int64
-	closed    bool
+	from        *sender
+	to          *receiver
+	model       *receivers.Receiver
+	incarnation uint64
+	idleSince   int64
+	closed      bool
 }
 
-// alive tells whether the receiver's end of it is there still.
-func (c *conn) alive() bool { return !c.closed && c.model.Since == c.since && c.to.model == c.model }
+// usable reports whether neither end has closed the connection and the receiver's process is still the same.
+func (c *conn) usable() bool {
+	return !c.closed && c.model.Incarnation == c.incarnation && c.to.model == c.model
+}
 
 func (c *conn) close() {
 	if c.closed {
 		return
 	}
-	if c.model.Since == c.since {
+	if c.model.Incarnation == c.incarnation {
 		c.model.Conns--
 	}
 	c.closed = true
 	c.to.idle = slices.DeleteFunc(c.to.idle, func(o *conn) bool { return o == c })
 }
 
-// call is one call from a sender: its messages' legs, or a probe.
+// call is one call of a sender: a batch of legs, or a probe.
 type call struct {
-	s        *sender
-	life     uint64
-	to       *receiver
-	probe    bool
-	hands    []*hand
-	numbers  []int
-	patience int64
-	sentAt   int64
-	conn     *conn
-	c        receivers.Call
-	arrived  bool
-	settled  bool
-	route    *receivers.Route // while it is on its way there
-	answer   receivers.Answer
+	from         *sender
+	incarnation  uint64
+	to           *receiver
+	probe        bool
+	handIns      []*handIn
+	legNumbers   []int
+	timeout      int64
+	sentAt       int64
+	conn         *conn
+	request      receivers.Call
+	arrived      bool
+	settled      bool
+	transitRoute *receivers.Route // set until the call reaches the receiver
+	answer       receivers.Answer
 }
 
-// The events of a call.
+// Events of a call.
 const (
-	evKnock     uint8 = iota // a new connection's first word is at the receiver
-	evArrive                 // the last byte is
-	evAnswer                 // the answer is back
-	evRefused                // word that no connection came up is back
-	evPatience               // its sender waits no longer
-	evCancelled              // its sender has called it off
+	evConnect       uint8 = iota // the connection request reaches the receiver
+	evRequest                    // the last byte of the request reaches the receiver
+	evAnswer                     // the answer reaches the sender
+	evConnectFailed              // the sender learns that the connection failed
+	evTimeout                    // the sender's timeout expires
+	evCancelled                  // the sender cancels the call
 )
 
-func newCall(s *sender, to *receiver, patience int64) *call {
-	c := &call{s: s, life: s.life, to: to, patience: patience, route: to.model.Route}
-	c.to.coming++
-	c.route.Coming++
+func newCall(from *sender, to *receiver, timeout int64) *call {
+	c := &call{from: from, incarnation: from.incarnation, to: to, timeout: timeout, transitRoute: to.model.Route}
+	c.to.inTransit++
+	c.transitRoute.InTransit++
 	return c
 }
 
-func (c *call) join(h *hand, number int, patience int64) {
-	c.hands, c.numbers = append(c.hands, h), append(c.numbers, number)
-	c.patience = min(c.patience, patience)
+func (c *call) addLeg(h *handIn, number int, timeout int64) {
+	c.handIns, c.legNumbers = append(c.handIns, h), append(c.legNumbers, number)
+	c.timeout = min(c.timeout, timeout)
 	h.legs = append(h.legs, c)
 }
 
-// live tells whether anything of it still matters to its sender.
-func (c *call) live() bool { return !c.settled && c.s.up && c.s.life == c.life }
+// pending reports whether the sender still waits for the outcome.
+func (c *call) pending() bool { return !c.settled && c.from.up && c.from.incarnation == c.incarnation }
 
-// depart puts it on its way: on an idle connection that is young enough, else on a new one.
-func (c *call) depart() {
-	w := c.s.w
+// send transmits the call on an idle connection that is recent enough, or opens a new one.
+func (c *call) send() {
+	w := c.from.w
 	c.sentAt = w.Now()
-	w.At(c.sentAt+max(1, int64(float64(c.patience)/(1+c.s.drift))), c, evPatience, 0)
-	if c.conn = c.s.idleConn(c.to); c.conn != nil {
-		w.At(w.Now()+w.oneWay(c.s.zone, c.to.zone), c, evArrive, 0)
+	w.At(c.sentAt+max(1, int64(float64(c.timeout)/(1+c.from.clockDrift))), c, evTimeout, 0)
+	if c.conn = c.from.takeIdleConn(c.to); c.conn != nil {
+		w.At(w.Now()+w.oneWayDelay(c.from.zone, c.to.zone), c, evRequest, 0)
 		return
 	}
-	w.At(w.Now()+w.oneWay(c.s.zone, c.to.zone), c, evKnock, 0)
+	w.At(w.Now()+w.oneWayDelay(c.from.zone, c.to.zone), c, evConnect, 0)
 }
 
-// idleConn takes the idle connection used last, if it is there still; dead and old ones go.
-func (s *sender) idleConn(x *receiver) *conn {
-	pool := s.pools[x.id]
-	oldest := s.w.Now() - int64(keptIdle*float64(x.model.Nature.ConnIdle))
-	for len(pool) > 0 {
-		c := pool[len(pool)-1]
-		pool = pool[:len(pool)-1]
-		s.pools[x.id] = pool
-		if c.alive() && (x.model.Nature.ConnIdle == 0 || c.idleSince >= oldest) {
+// takeIdleConn takes the most recently used idle connection to a receiver, or returns nil. It closes the dead and
+// outdated connections that it meets.
+func (s *sender) takeIdleConn(x *receiver) *conn {
+	conns := s.idleConns[x.id]
+	oldest := s.w.Now() - int64(idleReuseShare*float64(x.model.Config.IdleTimeout))
+	for len(conns) > 0 {
+		c := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		s.idleConns[x.id] = conns
+		if c.usable() && (x.model.Config.IdleTimeout == 0 || c.idleSince >= oldest) {
 			x.idle = slices.DeleteFunc(x.idle, func(o *conn) bool { return o == c })
 			return c
 		}
@@ -106,223 +109,223 @@
 	return nil
 }
 
-// Handle is for the loop.
+// Handle implements loop.Handler.
 func (c *call) Handle(kind uint8, _ uint64) {
 	switch kind {
-	case evKnock:
-		c.knock()
-	case evArrive:
-		c.arrive()
+	case evConnect:
+		c.connect()
+	case evRequest:
+		c.reachReceiver()
 	case evAnswer:
-		c.heard()
-	case evRefused:
-		c.settle(choice.ConnectFailed, 0, receivers.Load{})
-	case evPatience:
+		c.receiveAnswer()
+	case evConnectFailed:
+		c.settle(choice.ConnectFailed, 0, receivers.LimitReport{})
+	case evTimeout:
 		if c.conn == nil {
-			c.settle(choice.ConnectFailed, 0, receivers.Load{})
+			c.settle(choice.ConnectFailed, 0, receivers.LimitReport{})
 		} else {
-			c.settle(choice.TimedOut, 0, receivers.Load{})
+			c.settle(choice.TimedOut, 0, receivers.LimitReport{})
 		}
 	case evCancelled:
-		c.settle(choice.Cancelled, 0, receivers.Load{})
+		c.settle(choice.Cancelled, 0, receivers.LimitReport{})
 	}
 }
 
-// knock is a new connection's first word at the receiver.
-func (c *call) knock() {
-	w, m := c.s.w, c.to.model
-	if !c.live() {
-		c.arrivedThere()
+// connect handles a connection request at the receiver.
+func (c *call) connect() {
+	w, m := c.from.w, c.to.model
+	if !c.pending() {
+		c.leaveTransit()
 		return
 	}
-	back := w.oneWay(c.s.zone, c.to.zone)
+	back := w.oneWayDelay(c.from.zone, c.to.zone)
 	switch {
-	case m.Silent() || w.isCut(c.s.number, c.to):
-		w.At(c.sentAt+int64(w.sc.Network.ConnectTimeout), c, evRefused, 0)
+	case m.Unreachable() || w.partitioned(c.from.number, c.to):
+		w.At(c.sentAt+int64(w.sc.Network.ConnectTimeout), c, evConnectFailed, 0)
 		return
-	case m.Refuses():
-		w.At(w.Now()+back, c, evRefused, 0)
+	case m.RefusesConns():
+		w.At(w.Now()+back, c, evConnectFailed, 0)
 		return
-	case m.Nature.MostConns > 0 && m.Conns >= m.Nature.MostConns && !c.to.reap():
-		c.answer = receivers.Answer{Kind: receivers.Full}
+	case m.Config.MaxConns > 0 && m.Conns >= m.Config.MaxConns && !c.to.reapIdle():
+		c.answer = receivers.Answer{Kind: receivers.Refused}
 		w.At(w.Now()+back, c, evAnswer, 0)
 		return
 	}
 	m.Conns++
 	w.tally.Connections++
-	c.conn = &conn{s: c.s, to: c.to, model: m, since: m.Since}
-	w.At(w.Now()+back+w.oneWay(c.s.zone, c.to.zone)+m.Nature.Handshake, c, evArrive, 0)
+	c.conn = &conn{from: c.from, to: c.to, model: m, incarnation: m.Incarnation}
+	w.At(w.Now()+back+w.oneWayDelay(c.from.zone, c.to.zone)+m.Config.HandshakeTime, c, evRequest, 0)
 }
 
-// reap closes what has stood idle too long, and tells whether there is room for another connection.
-func (x *receiver) reap() bool {
+// reapIdle closes connections that exceed the idle timeout, and reports whether another connection is allowed.
+func (x *receiver) reapIdle() bool {
 	m := x.model
-	for m.Nature.ConnIdle > 0 && len(x.idle) > 0 && x.idle[0].idleSince+m.Nature.ConnIdle <= x.dst.tally.w.Now() {
+	for m.Config.IdleTimeout > 0 && len(x.idle) > 0 && x.idle[0].idleSince+m.Config.IdleTimeout <= x.dst.tally.w.Now() {
 		x.idle[0].close()
 	}
-	return m.Conns < m.Nature.MostConns
+	return m.Conns < m.Config.MaxConns
 }
 
-func (c *call) arrivedThere() {
-	if c.route != nil {
-		c.to.coming--
-		c.route.Coming--
-		c.route = nil
+func (c *call) leaveTransit() {
+	if c.transitRoute != nil {
+		c.to.inTransit--
+		c.transitRoute.InTransit--
+		c.transitRoute = nil
 	}
 }
 
-// arrive is its last byte at the receiver.
-func (c *call) arrive() {
-	w := c.s.w
-	c.arrivedThere()
-	if !c.live() {
+// reachReceiver handles the arrival of the complete request.
+func (c *call) reachReceiver() {
+	w := c.from.w
+	c.leaveTransit()
+	if !c.pending() {
 		return
 	}
-	if w.isCut(c.s.number, c.to) {
-		return // it never gets there, and nobody says so
+	if w.partitioned(c.from.number, c.to) {
+		return // the request is lost without an error
 	}
-	if c.conn.model != c.to.model || !c.conn.alive() { // the process went meanwhile: a reset
-		c.answer = receivers.Answer{Kind: receivers.Broken}
-		w.At(w.Now()+w.oneWay(c.s.zone, c.to.zone), c, evAnswer, 0)
+	if c.conn.model != c.to.model || !c.conn.usable() { // the process has ended meanwhile: connection reset
+		c.answer = receivers.Answer{Kind: receivers.Reset}
+		w.At(w.Now()+w.oneWayDelay(c.from.zone, c.to.zone), c, evAnswer, 0)
 		return
 	}
 	c.arrived = true
-	c.c = receivers.Call{Sender: c.s.number, Messages: max(1, len(c.hands)), Probe: c.probe, Sink: c}
-	for _, h := range c.hands {
-		c.c.Work += h.order.work
+	c.request = receivers.Call{Sender: c.from.number, Messages: max(1, len(c.handIns)), Probe: c.probe, Caller: c}
+	for _, h := range c.handIns {
+		c.request.Work += h.message.work
 	}
-	c.c.Work /= int64(max(1, len(c.hands)))
-	c.to.model.Offer(&c.c)
+	c.request.Work /= int64(max(1, len(c.handIns)))
+	c.to.model.Offer(&c.request)
 }
 
-// Live tells the receiver whether anybody wants a message of it still.
-func (c *call) Live(*receivers.Call) bool {
-	return c.probe || slices.ContainsFunc(c.hands, func(h *hand) bool { return !h.order.over() })
+// StillNeeded implements receivers.Caller: it reports whether a client still waits for any message of the call.
+func (c *call) StillNeeded(*receivers.Call) bool {
+	return c.probe || slices.ContainsFunc(c.handIns, func(h *handIn) bool { return !h.message.hasEnded() })
 }
 
-// Answered takes the receiver's answer, which sets out on its way back.
+// Answered implements receivers.Caller: it sends the receiver's answer back through the network.
 func (c *call) Answered(_ *receivers.Call, a receivers.Answer) {
-	w := c.s.w
+	w := c.from.w
 	if a.Kind == receivers.OK && !c.probe {
-		w.tally.ran(c)
+		w.tally.workDone(c)
 	}
-	if !c.live() || a.Kind != receivers.Broken && (c.to.model.LosesAnswer() || c.to.model.Silent()) || w.isCut(c.s.number, c.to) {
+	if !c.pending() || a.Kind != receivers.Reset && (c.to.model.LosesAnswer() || c.to.model.Unreachable()) || w.partitioned(c.from.number, c.to) {
 		return
 	}
 	c.answer = a
-	w.At(w.Now()+w.oneWay(c.s.zone, c.to.zone), c, evAnswer, 0)
+	w.At(w.Now()+w.oneWayDelay(c.from.zone, c.to.zone), c, evAnswer, 0)
 }
 
-func (c *call) heard() {
-	outcomes := [...]choice.Outcome{receivers.OK: choice.Delivered, receivers.Error: choice.Errored, receivers.Full: choice.Full,
-		receivers.Broken: choice.Reset, receivers.Over: choice.Skipped}
-	c.settle(outcomes[c.answer.Kind], c.answer.Wait, c.answer.Load)
+func (c *call) receiveAnswer() {
+	outcomes := [...]choice.Outcome{receivers.OK: choice.Delivered, receivers.Error: choice.Errored, receivers.Refused: choice.Refused,
+		receivers.Reset: choice.Reset, receivers.NotNeeded: choice.NotSent}
+	c.settle(outcomes[c.answer.Kind], c.answer.RetryAfter, c.answer.Limit)
 }
 
-// abandon lets go of a call whose sender is gone.
+// abandon drops a call whose sender has ended.
 func (c *call) abandon() {
 	if c.settled {
 		return
 	}
 	c.settled = true
-	c.to.dst.tally.out -= len(c.hands)
-	c.arrivedThere()
-	c.hangUp()
+	c.to.dst.tally.inFlight -= len(c.handIns)
+	c.leaveTransit()
+	c.closeConn()
 }
 
-// hangUp closes its connection; what the receiver has begun runs on.
-func (c *call) hangUp() {
+// closeConn closes the connection. Work that the receiver has begun continues; a queued call may be dropped.
+func (c *call) closeConn() {
 	if c.conn != nil {
 		c.conn.close()
 	}
 	if c.arrived {
-		c.to.model.Leave(&c.c)
+		c.to.model.Cancel(&c.request)
 	}
 }
 
-// settle tells the sender how its call went, once.
-func (c *call) settle(o choice.Outcome, wait int64, load receivers.Load) {
-	if !c.live() {
+// settle reports the outcome of the call to the sender, once.
+func (c *call) settle(o choice.Outcome, retryAfter int64, report receivers.LimitReport) {
+	if !c.pending() {
 		return
 	}
 	c.settled = true
-	c.arrivedThere()
-	w, s, now := c.s.w, c.s, c.s.w.Now()
+	c.leaveTransit()
+	w, from, now := c.from.w, c.from, c.from.w.Now()
 	switch o {
-	case choice.Delivered, choice.Errored, choice.Full, choice.Skipped:
-		c.keep(now)
+	case choice.Delivered, choice.Errored, choice.Refused, choice.NotSent:
+		c.releaseConn(now)
 	default:
-		c.hangUp()
+		c.closeConn()
 	}
-	rt := c.to.model.Route
-	if o != choice.Delivered && o != choice.Skipped && o != choice.Cancelled && rt.IllSince(c.sentAt) {
-		rt.Noticed(s.number)
+	route := c.to.model.Route
+	if o != choice.Delivered && o != choice.NotSent && o != choice.Cancelled && route.OutageSince(c.sentAt) {
+		route.SawOutage(from.number)
 	}
-	if o == choice.Full && wait > 0 {
-		s.desk.Told(rt.Number, wait, now)
+	if o == choice.Refused && retryAfter > 0 {
+		from.view.RetryAfterReceived(route.Number, retryAfter, now)
 	}
-	reports := w.sc.Kinds[c.to.dst.kind].Reports
+	reports := w.sc.Kinds[c.to.dst.kind].LoadReports
 	if c.probe {
-		s.tell(func(p policy.Policy) { p.Probed(c.to.id, o, report(load, reports != "off")) })
+		from.notify(func(p policy.Policy) { p.ProbeEnded(c.to.id, o, limitReport(report, reports != "off")) })
 		return
 	}
-	s.out--
+	from.inFlight--
 	w.tally.settled(c, o, now)
-	for i, h := range c.hands {
-		c.settleOne(h, c.numbers[i], o, wait, report(load, reports == "calls"))
+	for i, h := range c.handIns {
+		c.settleLeg(h, c.legNumbers[i], o, retryAfter, limitReport(report, reports == "calls"))
 	}
 }
 
-func (c *call) settleOne(h *hand, number int, o choice.Outcome, wait int64, rep choice.Report) {
-	w, s, now := c.s.w, c.s, c.s.w.Now()
-	final := o == choice.Delivered || o == choice.Skipped
-	w.say(event{Event: "settled", Message: h.msg.ID, Sender: s.name(), Dst: c.to.dst.number, Receiver: c.to.id,
-		Number: number + 1, Outcome: outcomeNames[o], Wait: wait, Took: now - c.sentAt})
-	ended := h.msg.Ended
-	w.judge.Settled(&h.msg, number, o, final, now)
-	if o == choice.Delivered && !ended {
-		w.clients.delivered(h.order, now)
+func (c *call) settleLeg(h *handIn, number int, o choice.Outcome, retryAfter int64, limit choice.RateLimit) {
+	w, from, now := c.from.w, c.from, c.from.w.Now()
+	final := o == choice.Delivered || o == choice.NotSent
+	w.emit(event{Event: "settled", Message: h.record.ID, Sender: from.name(), Dst: c.to.dst.number, Receiver: c.to.id,
+		Number: number + 1, Outcome: outcomeNames[o], RetryAfter: retryAfter, Took: now - c.sentAt})
+	alreadyEnded := h.record.Ended
+	w.checker.Settled(&h.record, number, o, final, now)
+	if o == choice.Delivered && !alreadyEnded {
+		w.clients.delivered(h.message, now)
 	}
-	s.tell(func(p policy.Policy) { p.Settled(h.msg.ID, number, o, wait, final, rep) })
-	s.forget(h)
+	from.notify(func(p policy.Policy) { p.LegEnded(h.record.ID, number, o, retryAfter, final, limit) })
+	from.dropIfDone(h)
 }
 
-// keep puts its connection among the idle ones.
-func (c *call) keep(now int64) {
-	if c.conn == nil || !c.conn.alive() {
+// releaseConn returns the connection to the idle pool.
+func (c *call) releaseConn(now int64) {
+	if c.conn == nil || !c.conn.usable() {
 		return
 	}
 	c.conn.idleSince = now
-	c.s.pools[c.to.id] = append(c.s.pools[c.to.id], c.conn)
-	if c.to.model.Nature.MostConns > 0 {
+	c.from.idleConns[c.to.id] = append(c.from.idleConns[c.to.id], c.conn)
+	if c.to.model.Config.MaxConns > 0 {
 		c.to.idle = append(c.to.idle, c.conn)
 	}
 }
 
 var outcomeNames = [...]string{"delivered", "errored", "full", "timed out", "not connected", "reset", "called off", "skipped"}
 
-// cut is a part of the network that does not carry anything between some senders and some receivers.
-type cut struct {
-	senders map[int]bool
-	to      map[*destination]bool
+// partition is a network failure that drops everything between some senders and some destinations.
+type partition struct {
+	senders      map[int]bool
+	destinations map[*destination]bool
 }
 
-func (w *World) isCut(sender int, x *receiver) bool {
-	for _, c := range w.cuts {
-		if c.senders[sender] && c.to[x.dst] {
+func (w *World) partitioned(sender int, x *receiver) bool {
+	for _, p := range w.partitions {
+		if p.senders[sender] && p.destinations[x.dst] {
 			return true
 		}
 	}
 	return false
 }
 
-func newCut(r *rand.Rand, senders int, share float64, dsts []*destination) *cut {
-	c := &cut{senders: map[int]bool{}, to: map[*destination]bool{}}
-	for _, i := range drawn(r, senders, share) {
-		c.senders[i] = true
+func newPartition(r *rand.Rand, senders int, share float64, dsts []*destination) *partition {
+	p := &partition{senders: map[int]bool{}, destinations: map[*destination]bool{}}
+	for _, i := range sampleIndices(r, senders, share) {
+		p.senders[i] = true
 	}
 	for _, d := range dsts {
-		c.to[d] = true
+		p.destinations[d] = true
 	}
-	return c
+	return p
 }
--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -10,325 +10,327 @@
 	"ravenlink/internal/lab/draw"
 )
 
-type orderState uint8
+type messageState uint8
 
-// An order is one thing that a client wants delivered, over all its hand-ins.
+// States of a message.
 const (
-	open orderState = iota
+	open messageState = iota
 	delivered
-	pushedBack // and its client comes no more
+	rejected // its client has given up
 	failed
-	left // its client went before
-	lost // with its sender, and may not come again
+	left // its client left before the end
+	lost // its sender died, and handing it in again is unsafe
 )
 
 var stateNames = [...]string{"open", "delivered", "pushed back", "failed", "left", "lost"}
 
-type heed uint8
+// retryAfterMode is how a client uses the retry-after of a rejection.
+type retryAfterMode uint8
 
 const (
-	heeds heed = iota
-	heedsHalf
-	ignores
+	obeysRetryAfter retryAfterMode = iota
+	obeysHalf
+	ignoresRetryAfter
 )
 
-type order struct {
-	w        *World
-	number   uint64
-	id       string // of the present hand-in
-	dst      *destination
-	lane     int
-	key      string
-	work     int64 // µs, on average over receivers
-	born     int64
-	deadline int64
-	tries    int // hand-ins
-	again    int // pushbacks
-	at       *sender
-	life     uint64
-	state    orderState
-	heed     heed
-	client   int
+// message is a message that a client wants delivered. It may be handed in several times, at different senders.
+type message struct {
+	w              *World
+	number         uint64
+	id             string // of the current hand-in: number and count of hand-ins
+	dst            *destination
+	class          int
+	key            string
+	work           int64 // µs of processing time at full speed
+	createdAt      int64
+	deadline       int64
+	handIns        int
+	rejections     int
+	acceptedBy     *sender
+	incarnation    uint64
+	state          messageState
+	retryAfterMode retryAfterMode
+	client         int
 }
 
-func (o *order) over() bool { return o.state != open }
+func (m *message) hasEnded() bool { return m.state != open }
 
-// The events of an order.
+// Events of a message.
 const (
 	evHandIn uint8 = iota
 	evLeave
 )
 
-// Handle is for the loop.
-func (o *order) Handle(kind uint8, _ uint64) {
-	if o.over() {
+// Handle implements loop.Handler.
+func (m *message) Handle(kind uint8, _ uint64) {
+	if m.hasEnded() {
 		return
 	}
 	switch kind {
 	case evHandIn:
-		o.tries++
-		o.id = strconv.FormatUint(o.number, 10) + "." + strconv.Itoa(o.tries)
-		o.w.tally.HandIns++
-		o.w.clients.front(o).take(o)
+		m.handIns++
+		m.id = strconv.FormatUint(m.number, 10) + "." + strconv.Itoa(m.handIns)
+		m.w.tally.HandIns++
+		m.w.clients.pickSender(m).accept(m)
 	case evLeave:
-		o.w.clients.end(o, left)
-		if o.w.sc.Clients.LeaveSay && o.at != nil && o.at.up && o.at.life == o.life {
-			o.at.withdrawn(o.id)
+		m.w.clients.finish(m, left)
+		if m.w.sc.Clients.AnnounceLeave && m.acceptedBy != nil && m.acceptedBy.up && m.acceptedBy.incarnation == m.incarnation {
+			m.acceptedBy.withdraw(m.id)
 		}
 	}
 }
 
-// clients make the traffic, and come again.
+// clients generates the traffic: the arrivals of messages, and the retries of clients whose messages were rejected.
 type clients struct {
-	w      *World
-	arrive *rand.Rand // when
-	orders *rand.Rand // what
-	habits *rand.Rand // who, and how they wait
-	fronts *rand.Rand
-	lanes  draw.Shares
-	dsts   draw.Shares
-	full   float64 // factor of all bursts on the whole
-	number uint64
-	each   []int // orders left of each closed client
+	w            *World
+	arrivalRand  *rand.Rand // arrival times
+	messageRand  *rand.Rand // destination, class, work and key of a message
+	behaviorRand *rand.Rand // behavior of clients: delays, leaving, use of retry-after
+	balancerRand *rand.Rand
+	classes      draw.Discrete
+	dsts         draw.Discrete
+	totalFactor  float64 // effect of all bursts on the total rate
+	number       uint64
+	remaining    []int // messages left for each client of the closed loop
 }
 
-// The events of the clients as a whole.
+// Events of all clients together.
 const (
-	evArrival uint8 = iota
-	evNext          // of a closed client
+	evArrival     uint8 = iota
+	evNextMessage       // a client of the closed loop sends its next message
 )
 
 func newClients(w *World) *clients {
-	c := &clients{w: w, arrive: draw.Stream(w.seed, "arrivals", 0), orders: draw.Stream(w.seed, "orders", 0),
-		habits: draw.Stream(w.seed, "habits", 0), fronts: draw.Stream(w.seed, "front", 0)}
+	c := &clients{w: w, arrivalRand: draw.Stream(w.seed, "arrivals", 0), messageRand: draw.Stream(w.seed, "orders", 0),
+		behaviorRand: draw.Stream(w.seed, "habits", 0), balancerRand: draw.Stream(w.seed, "front", 0)}
 	var shares []float64
-	for _, l := range w.sc.Lanes {
-		shares = append(shares, l.Share)
+	for _, class := range w.sc.Classes {
+		shares = append(shares, class.Share)
 	}
-	c.lanes = draw.Weighted(shares)
-	c.reweigh()
+	c.classes = draw.Weighted(shares)
+	c.updateWeights()
 	t := w.sc.Traffic
-	if t.Closed > 0 {
-		for i := range t.Closed {
-			c.each = append(c.each, t.Each)
-			w.At(w.Now()+int64(i)%1000, c, evNext, uint64(i))
+	if t.ClosedClients > 0 {
+		for i := range t.ClosedClients {
+			c.remaining = append(c.remaining, t.MessagesPerClient)
+			w.At(w.Now()+int64(i)%1000, c, evNextMessage, uint64(i))
 		}
 	} else if t.Rate*t.Load > 0 {
-		w.At(w.Now()+c.gap(), c, evArrival, 0)
+		w.At(w.Now()+c.arrivalGap(), c, evArrival, 0)
 	}
 	return c
 }
 
-// reweigh takes in bursts that begin or end.
-func (c *clients) reweigh() {
-	ws, plain, burst := make([]float64, len(c.w.dsts)), 0.0, 0.0
+// updateWeights recomputes the rates after a burst has begun or ended.
+func (c *clients) updateWeights() {
+	weights, plain, burst := make([]float64, len(c.w.dsts)), 0.0, 0.0
 	for i, d := range c.w.dsts {
-		ws[i] = d.rate * d.burst
+		weights[i] = d.rate * d.burst
 		plain += d.rate
-		burst += ws[i]
+		burst += weights[i]
 	}
-	c.full = 1
+	c.totalFactor = 1
 	if plain > 0 {
-		c.full = burst / plain
+		c.totalFactor = burst / plain
 	} else {
-		for i := range ws {
-			ws[i] = 1
+		for i := range weights {
+			weights[i] = 1
 		}
 	}
-	c.dsts = draw.Weighted(ws)
+	c.dsts = draw.Weighted(weights)
 }
 
-// curve is the traffic at a time, as a factor of its mean.
-func (c *clients) curve(at int64) float64 {
+// rateFactor returns the traffic at a time relative to its mean.
+func (c *clients) rateFactor(at int64) float64 {
 	t := c.w.sc.Traffic
-	x := float64(at - (c.w.end - int64(c.w.sc.Length)))
+	sinceStart := float64(at - (c.w.end - int64(c.w.sc.Length)))
 	switch t.Curve {
 	case "wave":
-		return 1 + t.Swing*math.Sin(2*math.Pi*x/float64(t.Period))
+		return 1 + t.Swing*math.Sin(2*math.Pi*sinceStart/float64(t.Period))
 	case "day":
-		return 1 - t.Swing*math.Cos(2*math.Pi*x/float64(c.w.sc.Length))
+		return 1 - t.Swing*math.Cos(2*math.Pi*sinceStart/float64(c.w.sc.Length))
 	}
 	return 1
 }
 
-// gap is the time to the next arrival at the highest rate; arrival thins them out to the rate of the moment.
-func (c *clients) gap() int64 {
+// arrivalGap draws the time to the next arrival at the peak rate; Handle thins the arrivals out to the current rate.
+func (c *clients) arrivalGap() int64 {
 	t := c.w.sc.Traffic
-	return max(1, int64(math.Round(c.arrive.ExpFloat64()/(t.Rate*t.Load*c.full*(1+t.Swing))*1e6)))
+	return max(1, int64(math.Round(c.arrivalRand.ExpFloat64()/(t.Rate*t.Load*c.totalFactor*(1+t.Swing))*1e6)))
 }
 
-// Handle is for the loop.
+// Handle implements loop.Handler.
 func (c *clients) Handle(kind uint8, n uint64) {
 	w := c.w
 	if w.Now() >= w.end {
 		return
 	}
-	if kind == evNext {
-		if c.each[n] > 0 {
-			c.each[n]--
-			c.order(w.dsts[c.dsts.Draw(c.orders)], int(n))
+	if kind == evNextMessage {
+		if c.remaining[n] > 0 {
+			c.remaining[n]--
+			c.newMessage(w.dsts[c.dsts.Draw(c.messageRand)], int(n))
 		}
 		return
 	}
-	w.At(w.Now()+c.gap(), c, evArrival, 0)
-	if c.arrive.Float64()*(1+w.sc.Traffic.Swing) < c.curve(w.Now()) {
-		c.arrival()
+	w.At(w.Now()+c.arrivalGap(), c, evArrival, 0)
+	if c.arrivalRand.Float64()*(1+w.sc.Traffic.Swing) < c.rateFactor(w.Now()) {
+		c.arrive()
 	}
 }
 
-// arrival is one message, or with some odds a clump of them, so that clumps bring their share of all messages.
-func (c *clients) arrival() {
+// arrive creates one message or, with a probability that gives clusters their share of all messages, a cluster of them.
+func (c *clients) arrive() {
 	t := c.w.sc.Traffic
-	d := c.w.dsts[c.dsts.Draw(c.orders)]
-	if t.Clumps == 0 {
-		c.order(d, -1)
+	d := c.w.dsts[c.dsts.Draw(c.messageRand)]
+	if t.ClusterShare == 0 {
+		c.newMessage(d, -1)
 		return
 	}
-	size := max(2, math.Round(float64(t.ClumpOf)/1e6*d.rate*t.Load))
-	odds := t.Clumps / (size*(1-t.Clumps) + t.Clumps)
-	if c.arrive.Float64() > 1/(1-odds+odds*size) {
-		return // clumps bring more than one each, so fewer of them come
+	size := max(2, math.Round(float64(t.ClusterTime)/1e6*d.rate*t.Load))
+	clusterProbability := t.ClusterShare / (size*(1-t.ClusterShare) + t.ClusterShare)
+	if c.arrivalRand.Float64() > 1/(1-clusterProbability+clusterProbability*size) {
+		return // a cluster has several messages, so there are fewer arrivals
 	}
-	if c.arrive.Float64() >= odds {
+	if c.arrivalRand.Float64() >= clusterProbability {
 		size = 1
 	}
 	for range int(size) {
-		c.order(d, -1)
+		c.newMessage(d, -1)
 	}
 }
 
-// order makes a new one and sets it on its way.
-func (c *clients) order(d *destination, client int) {
+// newMessage draws a message and schedules its first hand-in.
+func (c *clients) newMessage(d *destination, client int) {
 	w := c.w
 	c.number++
-	lane := c.lanes.Draw(c.orders)
-	l := w.sc.Lanes[lane]
-	o := &order{w: w, number: c.number, dst: d, lane: lane, born: w.Now(), deadline: w.Now() + int64(l.Deadline), client: client}
-	work := w.sc.Kinds[d.kind].Work.Times()
-	work.Mean = d.mean
-	o.work = work.Draw(c.orders)
-	if l.InOrder {
-		o.key = l.Name + strconv.Itoa(c.orders.IntN(max(1, l.Keys)))
+	class := c.classes.Draw(c.messageRand)
+	settings := w.sc.Classes[class]
+	m := &message{w: w, number: c.number, dst: d, class: class, createdAt: w.Now(), deadline: w.Now() + int64(settings.Deadline), client: client}
+	work := w.sc.Kinds[d.kind].Work.Distribution()
+	work.Mean = d.meanWork
+	m.work = work.Draw(c.messageRand)
+	if settings.Ordered {
+		m.key = settings.Name + strconv.Itoa(c.messageRand.IntN(max(1, settings.Keys)))
 	}
-	switch x := c.habits.Float64(); {
-	case x < w.sc.Clients.Heed:
-		o.heed = heeds
-	case x < w.sc.Clients.Heed+w.sc.Clients.HalfHeed:
-		o.heed = heedsHalf
+	switch x := c.behaviorRand.Float64(); {
+	case x < w.sc.Clients.ObeyShare:
+		m.retryAfterMode = obeysRetryAfter
+	case x < w.sc.Clients.ObeyShare+w.sc.Clients.HalfObeyShare:
+		m.retryAfterMode = obeysHalf
 	default:
-		o.heed = ignores
+		m.retryAfterMode = ignoresRetryAfter
 	}
-	w.tally.asked(o)
-	w.At(w.Now()+draw.Around(c.habits, int64(w.sc.Network.Client), w.sc.Network.Jitter), o, evHandIn, 0)
-	if w.sc.Clients.Leave > 0 && c.habits.Float64() < w.sc.Clients.Leave {
-		w.At(w.Now()+int64(c.habits.ExpFloat64()*float64(w.sc.Clients.LeaveIn)), o, evLeave, 0)
+	w.tally.asked(m)
+	w.At(w.Now()+draw.Uniform(c.behaviorRand, int64(w.sc.Network.ClientDelay), w.sc.Network.Jitter), m, evHandIn, 0)
+	if w.sc.Clients.LeaveShare > 0 && c.behaviorRand.Float64() < w.sc.Clients.LeaveShare {
+		w.At(w.Now()+int64(c.behaviorRand.ExpFloat64()*float64(w.sc.Clients.MeanLeaveTime)), m, evLeave, 0)
 	}
 }
 
-// front deals a hand-in out to a sender that it believes up.
-func (c *clients) front(o *order) *sender {
+// pickSender is the load balancer: it assigns a hand-in to a sender that it believes to be up.
+func (c *clients) pickSender(m *message) *sender {
 	all := c.w.senders
 	first := 0
 	switch {
-	case o.key != "":
-		first = int(xxhash.Sum64String(o.key) % uint64(len(all)))
-	case c.w.sc.Front.Mode == "beside" && o.client >= 0:
-		return all[o.client%len(all)]
-	case c.w.sc.Front.Mode == "beside":
-		return all[int(o.number)%len(all)]
+	case m.key != "":
+		first = int(xxhash.Sum64String(m.key) % uint64(len(all)))
+	case c.w.sc.LoadBalancer.Mode == "beside" && m.client >= 0:
+		return all[m.client%len(all)]
+	case c.w.sc.LoadBalancer.Mode == "beside":
+		return all[int(m.number)%len(all)]
 	default:
-		first = c.fronts.IntN(len(all))
+		first = c.balancerRand.IntN(len(all))
 	}
 	for i := range all {
-		if s := all[(first+i)%len(all)]; s.believed {
+		if s := all[(first+i)%len(all)]; s.believedUp {
 			return s
 		}
 	}
 	return all[first]
 }
 
-// lostAt says that the sender was not there: its client comes again.
-func (c *clients) lostAt(o *order) {
-	c.w.tally.Unheard++
-	c.again(o, int64(c.w.sc.Clients.Again))
+// senderDown handles a hand-in at a sender that is down: the client retries.
+func (c *clients) senderDown(m *message) {
+	c.w.tally.SenderDown++
+	c.resubmit(m, int64(c.w.sc.Clients.ResubmitDelay))
 }
 
-// orphaned says that a sender died with a message. It comes again, but for one that may have run and must not twice.
-func (c *clients) orphaned(h *hand) {
-	if h.msg.Lane.Repeat == 0 && h.msg.MayHaveRun() { // non-retriable
-		c.end(h.order, lost)
+// orphaned handles a message whose sender died. The client retries unless the message is not retriable and may have run.
+func (c *clients) orphaned(h *handIn) {
+	if h.record.Class.RetryMode == 0 && h.record.MayHaveRun() { // non-retriable
+		c.finish(h.message, lost)
 		return
 	}
 	c.w.tally.Orphaned++
-	c.again(h.order, int64((0.5+c.habits.Float64())*float64(c.w.sc.Clients.Again)))
+	c.resubmit(h.message, int64((0.5+c.behaviorRand.Float64())*float64(c.w.sc.Clients.ResubmitDelay)))
 }
 
-// again brings an order in once more, if there is time.
-func (c *clients) again(o *order, after int64) {
-	if o.over() {
+// resubmit schedules another hand-in, or rejects the message for good if its deadline would have passed.
+func (c *clients) resubmit(m *message, delay int64) {
+	if m.hasEnded() {
 		return
 	}
-	if at := c.w.Now() + max(1, after); at < o.deadline {
-		c.w.At(at, o, evHandIn, 0)
+	if at := c.w.Now() + max(1, delay); at < m.deadline {
+		c.w.At(at, m, evHandIn, 0)
 		return
 	}
-	c.end(o, pushedBack)
+	c.finish(m, rejected)
 }
 
-// pushedBack takes a pushback with what it advises.
-func (c *clients) pushedBack(o *order, advice int64) {
-	if o.over() {
+// rejected handles a rejection with its retry-after.
+func (c *clients) rejected(m *message, retryAfter int64) {
+	if m.hasEnded() {
 		return
 	}
-	o.again++
-	c.w.tally.PushBacks++
-	if o.again > c.w.sc.Clients.Repeats {
-		c.end(o, pushedBack)
+	m.rejections++
+	c.w.tally.Rejections++
+	if m.rejections > c.w.sc.Clients.MaxRetries {
+		c.finish(m, rejected)
 		return
 	}
-	own := int64(float64(c.w.sc.Clients.Backoff<<min(o.again-1, 10)) * (0.5 + c.habits.Float64()))
+	delay := int64(float64(c.w.sc.Clients.Backoff<<min(m.rejections-1, 10)) * (0.5 + c.behaviorRand.Float64()))
 	switch {
-	case advice > 0 && o.heed == heeds:
-		own = advice
-	case advice > 0 && o.heed == heedsHalf:
-		own = advice / 2
+	case retryAfter > 0 && m.retryAfterMode == obeysRetryAfter:
+		delay = retryAfter
+	case retryAfter > 0 && m.retryAfterMode == obeysHalf:
+		delay = retryAfter / 2
 	}
-	c.again(o, own)
+	c.resubmit(m, delay)
 }
 
-func (c *clients) failed(o *order) { c.end(o, failed) }
+func (c *clients) failed(m *message) { c.finish(m, failed) }
 
-func (c *clients) delivered(o *order, now int64) {
-	if o.over() {
+func (c *clients) delivered(m *message, now int64) {
+	if m.hasEnded() {
 		return
 	}
-	if now > o.deadline {
-		c.end(o, failed)
+	if now > m.deadline {
+		c.finish(m, failed)
 		return
 	}
-	c.end(o, delivered)
+	c.finish(m, delivered)
 }
 
-// end is the one place where an order is over.
-func (c *clients) end(o *order, how orderState) {
-	if o.over() {
+// finish ends a message. Every message ends here.
+func (c *clients) finish(m *message, final messageState) {
+	if m.hasEnded() {
 		return
 	}
-	o.state = how
-	c.w.tally.ended(o)
-	c.w.say(event{Event: "over: " + stateNames[how], Message: o.id, Dst: o.dst.number, Took: c.w.Now() - o.born})
-	if o.client >= 0 {
-		c.w.At(c.w.Now()+int64(c.w.sc.Traffic.Think), c, evNext, uint64(o.client))
+	m.state = final
+	c.w.tally.ended(m)
+	c.w.emit(event{Event: "over: " + stateNames[final], Message: m.id, Dst: m.dst.number, Took: c.w.Now() - m.createdAt})
+	if m.client >= 0 {
+		c.w.At(c.w.Now()+int64(c.w.sc.Traffic.ThinkTime), c, evNextMessage, uint64(m.client))
 	}
 }
 
-// notes are the texts on their way between senders; each is taken once.
+// notes holds the peer notes in transit between senders; each is taken once.
 type notes struct {
 	next  uint64
 	texts map[uint64]string
 }
 
-func (n *notes) keep(text string) uint64 {
+func (n *notes) put(text string) uint64 {
 	if n.texts == nil {
 		n.texts = map[uint64]string{}
 	}
--- a/internal/lab/world/sender.go
+++ b/internal/lab/world/sender.go
@@ -11,147 +11,147 @@
 	"ravenlink/internal/lab/rules"
 )
 
-// hand is one hand-in of a message at a sender: taken on by it until it is over.
-type hand struct {
-	order *order
-	msg   rules.Message
-	legs  []*call
+// handIn is a message that a sender has accepted, until it is done with it.
+type handIn struct {
+	message *message
+	record  rules.Message
+	legs    []*call
 }
 
-// sender is one sender's process and its place in the world.
+// sender models a sender: its process, and the state that outlasts the process.
 type sender struct {
-	w      *World
-	number int
-	zone   int
-	up     bool
-	life   uint64 // counts its starts
-	policy policy.Policy
-	desk   *rules.Desk
-	hands  map[string]*hand // emptied as messages are over and nothing of them is out
-	pools  map[uint32][]*conn
-	out    int // calls
-
-	list     map[uint32]choice.Entry // what it was told, the last thing that outlasts it
-	stale    int                     // troubles that keep news from it
-	missed   map[uint32]bool         // changes kept from it
-	turnAt   int64                   // when the latest turn was
-	turnSoon bool
-	timer    uint64
-	thisTurn []*call // that it sends in this turn
-	drift    float64 // rate at which its clock runs fast
-	offset   float64 // µs by which it is ahead
-	driftAt  int64
-
-	believed bool // up, by the front
+	w           *World
+	number      int
+	zone        int
+	up          bool
+	incarnation uint64 // number of starts
+	policy      policy.Policy
+	view        *rules.SenderView
+	handIns     map[string]*handIn // until a message has ended and has no open leg
+	idleConns   map[uint32][]*conn
+	inFlight    int // calls in flight
+
+	list          map[uint32]choice.Entry // the receiver list that it last received; outlasts the process
+	staleFaults   int                     // active faults that withhold list changes from it
+	missedChanges map[uint32]bool         // withheld list changes
+	lastTick      int64                   // time of the latest tick
+	tickScheduled bool
+	timerID       uint64
+	queuedCalls   []*call // calls to send at the end of the tick
+	clockDrift    float64 // rate by which its clock runs fast
+	clockOffset   float64 // µs by which its clock is ahead
+	clockReadAt   int64
+
+	believedUp bool // by the load balancer
 }
 
-// The events of a sender.
+// Events of a sender.
 const (
-	evTurn uint8 = iota
-	evRing
-	evListed
-	evWhole
-	evNoted
-	evNotice
-	evUp
+	evTick uint8 = iota
+	evTimer
+	evListChange
+	evSnapshot
+	evNote
+	evDownDetected
+	evRestart
 )
 
 func newSender(w *World, number int) *sender {
-	return &sender{w: w, number: number, zone: number % w.sc.Team.Zones, list: map[uint32]choice.Entry{}, missed: map[uint32]bool{},
-		believed: true, driftAt: w.Now()}
+	return &sender{w: w, number: number, zone: number % w.sc.Fleet.Zones, list: map[uint32]choice.Entry{}, missedChanges: map[uint32]bool{},
+		believedUp: true, clockReadAt: w.Now()}
 }
 
-// begin starts its process with the list it had last.
-func (s *sender) begin(remembered []choice.Entry) {
-	s.life++
-	s.up, s.believed = true, true
-	s.desk, s.hands, s.pools, s.out = rules.NewDesk(s.number), map[string]*hand{}, map[uint32][]*conn{}, 0
-	s.thisTurn, s.turnSoon = nil, false
-	s.timer++
+// startProcess starts the process with the receiver list that the previous one had.
+func (s *sender) startProcess(cached []choice.Entry) {
+	s.incarnation++
+	s.up, s.believedUp = true, true
+	s.view, s.handIns, s.idleConns, s.inFlight = rules.NewSenderView(s.number), map[string]*handIn{}, map[uint32][]*conn{}, 0
+	s.queuedCalls, s.tickScheduled = nil, false
+	s.timerID++
 	start := s.w.start
-	start.Host, start.Sender, start.Team.Zone = s, s.number, s.zone
-	start.Seed = draw.Stream(s.w.seed, "sender", s.number<<20|int(s.life)).Uint64()
-	s.policy = s.w.maker(start)
-	s.learn(choice.Remembered, remembered)
-	s.w.At(s.w.Now()+s.w.listDelay(), s, evWhole, s.life)
+	start.Host, start.Sender, start.Topology.Zone = s, s.number, s.zone
+	start.Seed = draw.Stream(s.w.seed, "sender", s.number<<20|int(s.incarnation)).Uint64()
+	s.policy = s.w.newPolicy(start)
+	s.updateList(choice.Cached, cached)
+	s.w.At(s.w.Now()+s.w.listDelay(), s, evSnapshot, s.incarnation)
 }
 
-// now is the time by its own clock.
+// now returns the time of the sender's own clock.
 func (s *sender) now() int64 {
-	s.wind()
-	return s.w.Now() + int64(math.Round(s.offset)) // a sum of many parts is a hair off whole microseconds
+	s.advanceClock()
+	return s.w.Now() + int64(math.Round(s.clockOffset)) // the sum of many parts is slightly off whole microseconds
 }
 
-func (s *sender) wind() {
-	s.offset += s.drift * float64(s.w.Now()-s.driftAt)
-	s.driftAt = s.w.Now()
+func (s *sender) advanceClock() {
+	s.clockOffset += s.clockDrift * float64(s.w.Now()-s.clockReadAt)
+	s.clockReadAt = s.w.Now()
 }
 
-// tell has the policy take in an event, and sees that a turn follows.
-func (s *sender) tell(event func(policy.Policy)) {
-	s.policy.At(s.now())
+// notify passes an event to the policy and schedules a tick.
+func (s *sender) notify(event func(policy.Policy)) {
+	s.policy.SetTime(s.now())
 	event(s.policy)
-	s.turn()
+	s.scheduleTick()
 }
 
-func (s *sender) turn() {
-	if s.turnSoon {
+func (s *sender) scheduleTick() {
+	if s.tickScheduled {
 		return
 	}
-	s.turnSoon = true
-	s.w.At(max(s.w.Now(), s.turnAt+int64(s.w.sc.Team.Turn)), s, evTurn, s.life)
+	s.tickScheduled = true
+	s.w.At(max(s.w.Now(), s.lastTick+int64(s.w.sc.Fleet.MinTickInterval)), s, evTick, s.incarnation)
 }
 
-// Handle is for the loop. Events of an earlier life mean nothing.
+// Handle implements loop.Handler. It ignores events of earlier incarnations.
 func (s *sender) Handle(kind uint8, n uint64) {
 	switch kind {
-	case evTurn:
-		if n == s.life && s.up {
+	case evTick:
+		if n == s.incarnation && s.up {
 			s.decide()
 		}
-	case evRing:
-		if n == s.timer && s.up {
-			s.tell(func(p policy.Policy) { p.Rang(0) })
+	case evTimer:
+		if n == s.timerID && s.up {
+			s.notify(func(p policy.Policy) { p.TimerFired(0) })
 		}
-	case evListed:
-		s.hearOf(uint32(n))
-	case evWhole:
-		if n == s.life && s.up && s.stale == 0 {
-			s.learn(choice.Whole, s.w.entries(nil))
+	case evListChange:
+		s.listChanged(uint32(n))
+	case evSnapshot:
+		if n == s.incarnation && s.up && s.staleFaults == 0 {
+			s.updateList(choice.Snapshot, s.w.listEntries(nil))
 		}
-	case evNoted:
+	case evNote:
 		if s.up {
-			s.tell(func(p policy.Policy) { p.Noted(s.w.notes.take(n)) })
+			s.notify(func(p policy.Policy) { p.ReceiveNote(s.w.notes.take(n)) })
 		} else {
 			s.w.notes.take(n)
 		}
-	case evNotice:
-		if n == s.life && !s.up && s.w.blind == 0 {
-			s.believed = false
+	case evDownDetected:
+		if n == s.incarnation && !s.up && s.w.blindFaults == 0 {
+			s.believedUp = false
 		}
-	case evUp:
-		if !s.up && n == s.life {
-			s.begin(s.remembered())
-			s.w.say(event{Event: "sender up", Sender: s.name()})
+	case evRestart:
+		if !s.up && n == s.incarnation {
+			s.startProcess(s.cachedList())
+			s.w.emit(event{Event: "sender up", Sender: s.name()})
 		}
 	}
 }
 
 func (s *sender) decide() {
-	s.turnSoon = false
-	s.turnAt = s.w.Now()
-	s.policy.At(s.now())
+	s.tickScheduled = false
+	s.lastTick = s.w.Now()
+	s.policy.SetTime(s.now())
 	s.policy.Decide()
-	calls := s.thisTurn
-	s.thisTurn = nil
+	calls := s.queuedCalls
+	s.queuedCalls = nil
 	for _, c := range calls {
-		c.depart()
+		c.send()
 	}
 }
 
-// remembered is the list it had last, in a fixed order.
-func (s *sender) remembered() (es []choice.Entry) {
-	for _, x := range s.w.order {
+// cachedList returns the listed receivers that the sender last knew, in a fixed order.
+func (s *sender) cachedList() (es []choice.Entry) {
+	for _, x := range s.w.allRecvs {
 		if e, known := s.list[x.id]; known && e.Listed {
 			es = append(es, e)
 		}
@@ -159,129 +159,129 @@
 	return es
 }
 
-func (s *sender) learn(form choice.ListForm, es []choice.Entry) {
+func (s *sender) updateList(kind choice.ListKind, es []choice.Entry) {
 	now := s.w.Now()
-	if form != choice.Changes {
-		named := make(map[uint32]bool, len(es))
+	if kind != choice.Delta {
+		present := make(map[uint32]bool, len(es))
 		for _, e := range es {
-			named[e.Receiver] = true
+			present[e.Receiver] = true
 		}
-		for _, x := range s.w.order {
-			if e, known := s.list[x.id]; known && e.Listed && !named[x.id] {
+		for _, x := range s.w.allRecvs {
+			if e, known := s.list[x.id]; known && e.Listed && !present[x.id] {
 				e.Listed = false
 				s.list[x.id] = e
-				s.desk.Listed(x.id, false, now)
+				s.view.Listed(x.id, false, now)
 			}
 		}
 	}
 	for _, e := range es {
 		s.list[e.Receiver] = e
-		s.desk.Listed(e.Receiver, e.Listed, now)
+		s.view.Listed(e.Receiver, e.Listed, now)
 	}
-	s.tell(func(p policy.Policy) { p.Listed(form, es) })
+	s.notify(func(p policy.Policy) { p.UpdateList(kind, es) })
 }
 
-// hearOf is told of a change. What it hears is how things stand by then.
-func (s *sender) hearOf(id uint32) {
-	if s.stale > 0 {
-		s.missed[id] = true
+// listChanged passes a list change to the policy, with the entry as it is now rather than when it changed.
+func (s *sender) listChanged(id uint32) {
+	if s.staleFaults > 0 {
+		s.missedChanges[id] = true
 		return
 	}
 	if s.up {
-		s.learn(choice.Changes, s.w.entries(s.w.recvs[id]))
+		s.updateList(choice.Delta, s.w.listEntries(s.w.recvByID[id]))
 	}
 }
 
-// catchUp tells all that was kept from it.
-func (s *sender) catchUp() {
-	if s.stale > 0 {
+// deliverMissedChanges passes on the changes that were withheld.
+func (s *sender) deliverMissedChanges() {
+	if s.staleFaults > 0 {
 		return
 	}
-	for _, x := range s.w.order {
-		if s.missed[x.id] {
-			s.hearOf(x.id)
+	for _, x := range s.w.allRecvs {
+		if s.missedChanges[x.id] {
+			s.listChanged(x.id)
 		}
 	}
-	clear(s.missed)
+	clear(s.missedChanges)
 }
 
-// take brings a hand-in to the sender. It may be over before take returns.
-func (s *sender) take(o *order) {
+// accept hands a message in at the sender. The message may have ended before accept returns.
+func (s *sender) accept(m *message) {
 	w := s.w
 	if !s.up {
-		w.clients.lostAt(o)
+		w.clients.senderDown(m)
 		return
 	}
-	if len(s.hands) >= w.start.Room.Held {
-		w.tally.TurnedAway++
-		w.say(event{Event: "no room", Message: o.id, Sender: s.name(), Dst: o.dst.number})
-		w.clients.pushedBack(o, min(shortAdvice, w.start.Allowed.MaxAdvice))
+	if len(s.handIns) >= w.start.Limits.MaxQueued {
+		w.tally.RejectedFull++
+		w.emit(event{Event: "no room", Message: m.id, Sender: s.name(), Dst: m.dst.number})
+		w.clients.rejected(m, min(fullRetryAfter, w.start.Capabilities.MaxRetryAfter))
 		return
 	}
-	h := &hand{order: o, msg: rules.Message{ID: o.id, Dst: o.dst.number, Lane: &w.lanes[o.lane], Expires: o.deadline}}
-	o.at = s
-	o.life = s.life
-	s.hands[o.id] = h
-	w.tally.Taken++
+	h := &handIn{message: m, record: rules.Message{ID: m.id, Dst: m.dst.number, Class: &w.classes[m.class], Expires: m.deadline}}
+	m.acceptedBy = s
+	m.incarnation = s.incarnation
+	s.handIns[m.id] = h
+	w.tally.Accepted++
 	key := ""
-	if h.msg.Lane.InOrder {
-		key = o.key
+	if h.record.Class.Ordered {
+		key = m.key
 	}
-	s.desk.Took(&h.msg, key)
-	w.say(event{Event: "taken", Message: o.id, Sender: s.name(), Dst: o.dst.number})
-	s.tell(func(p policy.Policy) {
-		p.Take(o.id, o.lane, key, o.dst.number, o.deadline+s.now()-w.Now())
+	s.view.Accepted(&h.record, key)
+	w.emit(event{Event: "taken", Message: m.id, Sender: s.name(), Dst: m.dst.number})
+	s.notify(func(p policy.Policy) {
+		p.Accept(m.id, m.class, key, m.dst.number, m.deadline+s.now()-w.Now())
 	})
 }
 
-// withdrawn tells it that a client has left.
-func (s *sender) withdrawn(id string) {
-	if h := s.hands[id]; h != nil {
-		h.msg.Withdrawn()
-		s.tell(func(p policy.Policy) { p.Withdrawn(id) })
-		s.forget(h)
+// withdraw tells the sender that the client has left.
+func (s *sender) withdraw(id string) {
+	if h := s.handIns[id]; h != nil {
+		h.record.Withdrawn()
+		s.notify(func(p policy.Policy) { p.Withdraw(id) })
+		s.dropIfDone(h)
 	}
 }
 
-func (s *sender) forget(h *hand) {
-	if !h.msg.Ended {
+func (s *sender) dropIfDone(h *handIn) {
+	if !h.record.Ended {
 		return
 	}
-	for _, l := range h.msg.Legs {
+	for _, l := range h.record.Legs {
 		if !l.Settled {
 			return
 		}
 	}
-	delete(s.hands, h.msg.ID)
+	delete(s.handIns, h.record.ID)
 }
 
 func (s *sender) name() int { return s.number + 1 }
 
-// Send puts a leg on its way as the turn ends, in one call with others of the turn where its receiver takes several.
-func (s *sender) Send(id string, to uint32, patience int64) {
-	w, h, x := s.w, s.hands[id], s.w.recvs[to]
+// Send queues a leg for the end of the tick. Legs to a receiver that accepts batches share a call.
+func (s *sender) Send(id string, to uint32, timeout int64) {
+	w, h, x := s.w, s.handIns[id], s.w.recvByID[to]
 	if h == nil || x == nil {
 		return
 	}
-	w.judge.Sent(s.desk, &h.msg, to, x.zone, x.model.Route.Number, w.Now())
-	w.tally.legs(h, x)
-	w.say(event{Event: "leg", Message: id, Sender: s.name(), Dst: x.dst.number, Receiver: to, Number: len(h.msg.Legs)})
-	number := len(h.msg.Legs) - 1
-	for _, c := range s.thisTurn {
-		if c.to == x && !c.probe && len(c.hands) < w.kinds[x.dst.kind].Batch {
-			c.join(h, number, patience)
+	w.checker.Sent(s.view, &h.record, to, x.zone, x.model.Route.Number, w.Now())
+	w.tally.legSent(h, x)
+	w.emit(event{Event: "leg", Message: id, Sender: s.name(), Dst: x.dst.number, Receiver: to, Number: len(h.record.Legs)})
+	number := len(h.record.Legs) - 1
+	for _, c := range s.queuedCalls {
+		if c.to == x && !c.probe && len(c.handIns) < w.kinds[x.dst.kind].Batch {
+			c.addLeg(h, number, timeout)
 			return
 		}
 	}
-	c := newCall(s, x, patience)
-	c.join(h, number, patience)
-	s.thisTurn = append(s.thisTurn, c)
-	s.out++
+	c := newCall(s, x, timeout)
+	c.addLeg(h, number, timeout)
+	s.queuedCalls = append(s.queuedCalls, c)
+	s.inFlight++
 }
 
-// Cancel calls a leg off.
+// Cancel cancels a leg.
 func (s *sender) Cancel(id string, leg int) {
-	h := s.hands[id]
+	h := s.handIns[id]
 	if h == nil || leg < 0 || leg >= len(h.legs) {
 		return
 	}
@@ -290,147 +290,148 @@
 	}
 }
 
-// PushBack ends a message unharmed.
-func (s *sender) PushBack(id string, comeBackIn int64) { s.ended(id, true, comeBackIn) }
+// Reject rejects a message, which the client may safely hand in again.
+func (s *sender) Reject(id string, retryAfter int64) { s.endMessage(id, true, retryAfter) }
 
-// Fail ends one with no promise.
-func (s *sender) Fail(id string) { s.ended(id, false, 0) }
+// Fail ends a message without saying whether it has run.
+func (s *sender) Fail(id string) { s.endMessage(id, false, 0) }
 
-func (s *sender) ended(id string, pushedBack bool, advice int64) {
-	h := s.hands[id]
+func (s *sender) endMessage(id string, rejected bool, retryAfter int64) {
+	h := s.handIns[id]
 	if h == nil {
 		return
 	}
-	w, first := s.w, !h.msg.Ended
-	w.judge.Ended(s.desk, &h.msg, pushedBack, w.Now())
+	w, first := s.w, !h.record.Ended
+	w.checker.Ended(s.view, &h.record, rejected, w.Now())
 	if first {
-		what := "failed"
-		if pushedBack {
-			what = "pushed back"
+		outcome := "failed"
+		if rejected {
+			outcome = "pushed back"
 		}
-		w.say(event{Event: what, Message: id, Sender: s.name(), Dst: h.msg.Dst, Wait: advice})
-		if pushedBack {
-			w.clients.pushedBack(h.order, advice)
+		w.emit(event{Event: outcome, Message: id, Sender: s.name(), Dst: h.record.Dst, RetryAfter: retryAfter})
+		if rejected {
+			w.clients.rejected(h.message, retryAfter)
 		} else {
-			w.clients.failed(h.order)
+			w.clients.failed(h.message)
 		}
 	}
-	s.forget(h)
+	s.dropIfDone(h)
 }
 
-// Timer asks for one ring; a later one takes its place.
-func (s *sender) Timer(in int64, _ uint64) {
-	s.timer++
-	s.w.At(s.w.Now()+max(1, int64(float64(in)/(1+s.drift))), s, evRing, s.timer)
+// SetTimer sets the sender's only timer, replacing the previous setting.
+func (s *sender) SetTimer(in int64, _ uint64) {
+	s.timerID++
+	s.w.At(s.w.Now()+max(1, int64(float64(in)/(1+s.clockDrift))), s, evTimer, s.timerID)
 }
 
-// Probe checks a receiver.
+// Probe queues a health check of a receiver for the end of the tick.
 func (s *sender) Probe(to uint32) {
-	x := s.w.recvs[to]
+	x := s.w.recvByID[to]
 	if x == nil {
 		return
 	}
-	s.w.judge.Probed(s.desk, x.dst.number, x.model.Route.Number, s.w.Now())
+	s.w.checker.Probed(s.view, x.dst.number, x.model.Route.Number, s.w.Now())
 	s.w.tally.Probes++
-	s.w.say(event{Event: "probe", Sender: s.name(), Dst: x.dst.number, Receiver: to})
+	s.w.emit(event{Event: "probe", Sender: s.name(), Dst: x.dst.number, Receiver: to})
 	c := newCall(s, x, int64(s.w.sc.Network.ConnectTimeout))
 	c.probe = true
-	s.thisTurn = append(s.thisTurn, c)
+	s.queuedCalls = append(s.queuedCalls, c)
 }
 
-// CloseIdle closes its idle connections to a receiver.
+// CloseIdle closes the idle connections to a receiver.
 func (s *sender) CloseIdle(to uint32) {
-	for _, c := range s.pools[to] {
+	for _, c := range s.idleConns[to] {
 		c.close()
 	}
-	delete(s.pools, to)
+	delete(s.idleConns, to)
 }
 
-// Saw tells nobody: here fellows hear notes alone.
-func (s *sender) Saw(choice.Sight) {}
+// Share does nothing: in this simulation, peers only exchange notes.
+func (s *sender) Share(choice.Observation) {}
 
-// Note tells every fellow something; some do not hear it.
-func (s *sender) Note(text string) {
+// Broadcast sends a note to every peer; some notes are lost.
+func (s *sender) Broadcast(text string) {
 	w := s.w
 	for _, o := range w.senders {
 		if o == s {
 			continue
 		}
 		w.tally.Notes++
-		if w.netRand.Float64() < 1-(1-w.sc.Network.NoteLoss)*(1-w.noteCut) {
+		if w.netRand.Float64() < 1-(1-w.sc.Network.NoteLoss)*(1-w.noteLoss) {
 			continue
 		}
-		at := w.Now() + draw.Around(w.netRand, int64(w.sc.Network.NoteDelay), .5)
-		w.At(at, o, evNoted, w.notes.keep(text))
+		at := w.Now() + draw.Uniform(w.netRand, int64(w.sc.Network.NoteDelay), .5)
+		w.At(at, o, evNote, w.notes.put(text))
 	}
 }
 
-// Subscribe is for lists that come only when asked for; here they come unasked.
+// Subscribe does nothing: this simulation delivers the receiver list unasked.
 func (s *sender) Subscribe() {}
 
-// Log is for people; the trace has it.
-func (s *sender) Log(text string) { s.w.say(event{Event: "says", Sender: s.name(), Text: text}) }
+// Log writes the text to the trace.
+func (s *sender) Log(text string) { s.w.emit(event{Event: "says", Sender: s.name(), Text: text}) }
 
-// die ends its process: connections go, what it held comes again to others where that is harmless.
-func (s *sender) die() {
+// crash ends the process: connections close, and clients hand its messages in again where that is safe.
+func (s *sender) crash() {
 	if !s.up {
 		return
 	}
 	w := s.w
 	s.up = false
-	s.timer++
-	w.say(event{Event: "sender down", Sender: s.name()})
-	ids := make([]string, 0, len(s.hands))
-	for id := range s.hands {
+	s.timerID++
+	w.emit(event{Event: "sender down", Sender: s.name()})
+	ids := make([]string, 0, len(s.handIns))
+	for id := range s.handIns {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		h := s.hands[id]
+		h := s.handIns[id]
 		for _, c := range h.legs {
 			c.abandon()
 		}
-		if !h.msg.Ended {
+		if !h.record.Ended {
 			w.clients.orphaned(h)
 		}
 	}
-	tos := make([]uint32, 0, len(s.pools))
-	for to := range s.pools {
+	tos := make([]uint32, 0, len(s.idleConns))
+	for to := range s.idleConns {
 		tos = append(tos, to)
 	}
 	slices.Sort(tos)
 	for _, to := range tos {
 		s.CloseIdle(to)
 	}
-	s.hands, s.thisTurn, s.out = map[string]*hand{}, nil, 0
+	s.handIns, s.queuedCalls, s.inFlight = map[string]*handIn{}, nil, 0
 }
 
-// close judges, as the run ends, what it has not answered.
-func (s *sender) close() {
+// checkUnanswered checks, at the end of the run, the messages that have not been answered.
+func (s *sender) checkUnanswered() {
 	if !s.up {
 		return
 	}
-	ids := make([]string, 0, len(s.hands))
-	for id := range s.hands {
+	ids := make([]string, 0, len(s.handIns))
+	for id := range s.handIns {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		s.w.judge.Unanswered(s.desk, &s.hands[id].msg, s.w.Now())
+		s.w.checker.Unanswered(s.view, &s.handIns[id].record, s.w.Now())
 	}
 }
 
-// believes is how many receivers the module holds closed; -1 where the policy has no such belief.
-func (s *sender) believes() int {
+// closedReceivers returns the number of receivers that the decision module considers closed, or -1 for other policies and
+// while the sender is down.
+func (s *sender) closedReceivers() int {
 	if m, ok := s.policy.(*choice.Sender); ok && s.up {
-		return m.Believes().Closed
+		return m.Stats().Closed
 	}
 	return -1
 }
 
-func report(l receivers.Load, told bool) choice.Report {
-	if !told {
-		return choice.Report{}
+func limitReport(r receivers.LimitReport, reported bool) choice.RateLimit {
+	if !reported {
+		return choice.RateLimit{}
 	}
-	return choice.Report{Told: l.Told, ShareLeft: l.ShareLeft, LimitPerSec: l.Limit}
+	return choice.RateLimit{Known: r.Known, RemainingShare: r.RemainingShare, LimitPerSec: r.LimitPerSec}
 }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -17,7 +17,7 @@
 	"ravenlink/internal/lab/scenario"
 )
 
-const small = `version = 1
+const smallScenario = `version = 1
 name = "small"
 length = "40s"
 [team]
@@ -34,22 +34,22 @@
 limit = { counting = "rate", headroom = 1.5, tells_wait = 1.0 }
 `
 
-func day(t testing.TB, more string) *scenario.Scenario {
+func newScenario(t testing.TB, more string) *scenario.Scenario {
 	t.Helper()
-	s, err := scenario.Decode("test", []byte(small+more))
+	s, err := scenario.Decode("test", []byte(smallScenario+more))
 	require.NoError(t, err)
 	return &s
 }
 
-func play(t testing.TB, s *scenario.Scenario, seed uint64, name string) *Result {
+func run(t testing.TB, s *scenario.Scenario, seed uint64, name string) *Result {
 	t.Helper()
-	r, err := Play(s, seed, name, nil)
+	r, err := Run(s, seed, name, nil)
 	require.NoError(t, err)
 	return r
 }
 
-// Everything asked for must have ended in one way.
-func ended(r *Result) (n int) {
+// totalEnded returns how many messages have ended, in any way.
+func totalEnded(r *Result) (n int) {
 	for _, k := range r.Ends {
 		n += k
 	}
@@ -63,20 +63,20 @@
 		s, err := scenario.Read(f)
 		require.NoError(t, err)
 		s.Length = min(s.Length, 6e6)
-		if s.Team.Senders > 100 || len(s.Kinds) > 0 && s.Kinds[0].Destinations > 100 {
-			continue // the large ones are measured, not tested
+		if s.Fleet.Senders > 100 || len(s.Kinds) > 0 && s.Kinds[0].Destinations > 100 {
+			continue // too large for a test; the experiments run them
 		}
-		for i := range s.Troubles {
-			s.Troubles[i].At /= 15
+		for i := range s.Faults {
+			s.Faults[i].At /= 15
 		}
 		print := func() [32]byte {
 			var b bytes.Buffer
 			trace := NewTrace(&b)
-			r, err := Play(&s, 7, policy.ModuleName, trace)
+			r, err := Run(&s, 7, policy.ModuleName, trace)
 			require.NoError(t, err)
 			require.NoError(t, trace.Close())
 			require.NoError(t, json.NewEncoder(&b).Encode(r))
-			assert.Equal(t, r.Asked, ended(r), f)
+			assert.Equal(t, r.Asked, totalEnded(r), f)
 			return sha256.Sum256(b.Bytes())
 		}
 		first := print()
@@ -87,8 +87,8 @@
 	}
 }
 
-// breakers are policies made to break one rule, each with a day on which it does.
-var breakers = map[rules.Rule]struct{ policy, day string }{
+// violators maps each rule to a policy that violates it, and to faults or classes that provoke the violation.
+var violators = map[rules.Rule]struct{ policy, settings string }{
 	rules.Answer: {"broken-answer", "[[trouble]]\nkind = \"silent\"\nat = \"5s\"\nfor = \"30s\"\ndestination = [1]\n"},
 	rules.Effect: {"broken-effect", "[[lane]]\nname = \"pay\"\nrepeat = \"non-retriable\"\n[[trouble]]\nkind = \"lost\"\nat = \"5s\"\nfor = \"20s\"\nsize = 0.5\n"},
 	rules.Drain:  {"broken-drain", "[[trouble]]\nkind = \"drain\"\nat = \"5s\"\nfor = \"20s\"\nreceiver = 1\n"},
@@ -97,75 +97,75 @@
 	rules.Wait:   {"broken-wait", "[[trouble]]\nkind = \"shut\"\nat = \"5s\"\nfor = \"15s\"\ndestination = [1, 2]\n"},
 }
 
-func TestEachJudgeCatchesWhoBreaksItsRuleAndPassesWhoKeepsIt(t *testing.T) {
-	for rule, b := range breakers {
-		s := day(t, b.day)
+func TestEachRuleDetectsItsViolatorAndPassesOthers(t *testing.T) {
+	for rule, b := range violators {
+		s := newScenario(t, b.settings)
 		if rule == rules.Return {
-			s.Traffic.Load = 1.5 // a backlog to push it over with
+			s.Traffic.Load = 1.5 // builds up a backlog that overloads the recovering receivers
 		}
-		bad := play(t, s, 1, b.policy)
+		bad := run(t, s, 1, b.policy)
 		assert.Positive(t, bad.Rules[rule], "%s on %s", b.policy, rule)
-		if assert.NotEmpty(t, bad.Breaches) {
-			assert.NotEmpty(t, bad.Breaches[0].What)
+		if assert.NotEmpty(t, bad.Violations) {
+			assert.NotEmpty(t, bad.Violations[0].What)
 		}
-		good := play(t, s, 1, policy.ModuleName)
-		assert.Zero(t, good.Broken, "%s: %v", rule, good.Breaches)
-		if rule != rules.Return { // a plain policy knows nothing of coldness
-			assert.Zero(t, play(t, s, 1, "backoff").Rules[rule], rule)
+		good := run(t, s, 1, policy.ModuleName)
+		assert.Zero(t, good.Broken, "%s: %v", rule, good.Violations)
+		if rule != rules.Return { // baseline policies do not limit calls to cold receivers
+			assert.Zero(t, run(t, s, 1, "backoff").Rules[rule], rule)
 		}
 	}
 }
 
-func TestADayWithNothingAndADayWithTooMuchEnd(t *testing.T) {
-	none := day(t, "")
+func TestRunsWithoutTrafficAndWithOverloadEnd(t *testing.T) {
+	none := newScenario(t, "")
 	none.Traffic.Load = 0
-	r := play(t, none, 1, policy.ModuleName)
+	r := run(t, none, 1, policy.ModuleName)
 	assert.Zero(t, r.Asked)
 	assert.Equal(t, 1.0, r.Service)
-	assert.Zero(t, r.Answer.Count)
+	assert.Zero(t, r.DeliveryTimes.Count)
 
-	flood := day(t, "")
+	flood := newScenario(t, "")
 	flood.Traffic.Load = 25
-	r = play(t, flood, 1, policy.ModuleName)
-	assert.Equal(t, r.Asked, ended(r))
-	assert.Zero(t, r.Broken, r.Breaches)
-	assert.Positive(t, r.PushBacks)
+	r = run(t, flood, 1, policy.ModuleName)
+	assert.Equal(t, r.Asked, totalEnded(r))
+	assert.Zero(t, r.Broken, r.Violations)
+	assert.Positive(t, r.Rejections)
 	assert.Less(t, r.Service, .15)
 }
 
 func TestAReceiverReplacedAtItsAddressWhileCallsAreOut(t *testing.T) {
-	s := day(t, "[[trouble]]\nkind = \"replace\"\nat = \"10s\"\n[[trouble]]\nkind = \"stale\"\nat = \"5s\"\nfor = \"15s\"\nsenders = 1.0\n")
-	r := play(t, s, 3, policy.ModuleName)
-	assert.Positive(t, r.Outcomes["reset"], "calls to the old one broke")
-	assert.Greater(t, r.Service, .85, "who knows the old id reaches the new process")
-	assert.Zero(t, r.Broken, r.Breaches)
+	s := newScenario(t, "[[trouble]]\nkind = \"replace\"\nat = \"10s\"\n[[trouble]]\nkind = \"stale\"\nat = \"5s\"\nfor = \"15s\"\nsenders = 1.0\n")
+	r := run(t, s, 3, policy.ModuleName)
+	assert.Positive(t, r.Outcomes["reset"], "calls to the old receiver are reset")
+	assert.Greater(t, r.Service, .85, "senders that know only the old id reach the new process")
+	assert.Zero(t, r.Broken, r.Violations)
 }
 
 func TestADrainDuringAnOutage(t *testing.T) {
-	s := day(t, "[[trouble]]\nkind = \"silent\"\nat = \"5s\"\nfor = \"15s\"\ndestination = [1]\n"+
+	s := newScenario(t, "[[trouble]]\nkind = \"silent\"\nat = \"5s\"\nfor = \"15s\"\ndestination = [1]\n"+
 		"[[trouble]]\nkind = \"drain\"\nat = \"10s\"\nfor = \"5s\"\ndestination = [1]\n")
 	for seed := range uint64(3) {
-		r := play(t, s, seed, policy.ModuleName)
-		assert.Zero(t, r.Broken, r.Breaches)
-		assert.Equal(t, r.Asked, ended(r))
+		r := run(t, s, seed, policy.ModuleName)
+		assert.Zero(t, r.Broken, r.Violations)
+		assert.Equal(t, r.Asked, totalEnded(r))
 	}
 }
 
-func TestSendersThatDieLoseNothingThatMayComeAgain(t *testing.T) {
-	s := day(t, "[[trouble]]\nkind = \"kill\"\nat = \"10s\"\nsenders = 1.0\n[[trouble]]\nkind = \"roll\"\nat = \"20s\"\nfor = \"10s\"\nsenders = 1.0\n")
-	r := play(t, s, 1, policy.ModuleName)
+func TestSenderCrashesLoseNoRetriableMessage(t *testing.T) {
+	s := newScenario(t, "[[trouble]]\nkind = \"kill\"\nat = \"10s\"\nsenders = 1.0\n[[trouble]]\nkind = \"roll\"\nat = \"20s\"\nfor = \"10s\"\nsenders = 1.0\n")
+	r := run(t, s, 1, policy.ModuleName)
 	assert.Zero(t, r.Ends["lost"])
-	assert.Equal(t, r.Asked, ended(r))
+	assert.Equal(t, r.Asked, totalEnded(r))
 	assert.Positive(t, r.Orphaned)
-	assert.Zero(t, r.Broken, r.Breaches)
+	assert.Zero(t, r.Broken, r.Violations)
 	assert.Greater(t, r.Service, .9)
 }
 
-func TestACutHurtsOnlyThoseBehindIt(t *testing.T) {
-	s := day(t, "[[trouble]]\nkind = \"cut\"\nat = \"10s\"\nfor = \"15s\"\nsenders = 0.5\ndestination = [1]\n")
+func TestPartitionAffectsOnlyItsLinks(t *testing.T) {
+	s := newScenario(t, "[[trouble]]\nkind = \"cut\"\nat = \"10s\"\nfor = \"15s\"\nsenders = 0.5\ndestination = [1]\n")
 	var b bytes.Buffer
 	trace := NewTrace(&b)
-	_, err := Play(s, 1, policy.ModuleName, trace)
+	_, err := Run(s, 1, policy.ModuleName, trace)
 	require.NoError(t, err)
 	require.NoError(t, trace.Close())
 	bad := map[int]bool{}
@@ -180,44 +180,44 @@
 	assert.Len(t, bad, 1)
 }
 
-func TestNotesAreTakenOnceOrLost(t *testing.T) {
+func TestNotesAreDeliveredOnceOrLost(t *testing.T) {
 	for _, loss := range []string{"0.0", "1.0"} {
-		s := day(t, "[[trouble]]\nkind = \"refuse\"\nat = \"5s\"\nfor = \"10s\"\ndestination = [1]\n")
+		s := newScenario(t, "[[trouble]]\nkind = \"refuse\"\nat = \"5s\"\nfor = \"10s\"\ndestination = [1]\n")
 		require.NoError(t, s.Set("network.note_loss", loss))
-		w := build(s, 1, policy.Module, nil)
+		w := newWorld(s, 1, policy.Module, nil)
 		w.Run(w.end + 60*second)
 		assert.Positive(t, w.tally.Notes)
 		assert.Empty(t, w.notes.texts)
 	}
 }
 
-func TestAClockThatRunsFastIsTheSendersOwn(t *testing.T) {
-	s := day(t, "[[trouble]]\nkind = \"clock\"\nat = \"5s\"\nfor = \"30s\"\nsize = 0.0005\nsenders = 0.5\n")
-	r := play(t, s, 1, policy.ModuleName)
-	assert.Zero(t, r.Broken, "half a millisecond in a second is within what the rules grant: %v", r.Breaches)
-	w := build(s, 1, policy.Module, nil)
+func TestClockDriftAffectsOnlyItsSender(t *testing.T) {
+	s := newScenario(t, "[[trouble]]\nkind = \"clock\"\nat = \"5s\"\nfor = \"30s\"\nsize = 0.0005\nsenders = 0.5\n")
+	r := run(t, s, 1, policy.ModuleName)
+	assert.Zero(t, r.Broken, "a drift of 0.5 ms per second is within the tolerance of the rules: %v", r.Violations)
+	w := newWorld(s, 1, policy.Module, nil)
 	w.Run(loop.Origin + 36*second)
 	offs := []int64{w.senders[0].now() - w.Now(), w.senders[1].now() - w.Now()}
 	assert.Contains(t, offs, int64(0))
 	assert.Contains(t, offs, int64(15_000))
 }
 
-func TestTheBoundServesMoreThanAnyOther(t *testing.T) {
-	s := day(t, "[[trouble]]\nkind = \"errors\"\nat = \"10s\"\nfor = \"10s\"\nsize = 0.9\ndestination = [1, 2]\n")
-	most := play(t, s, 1, policy.BoundName)
-	assert.Zero(t, most.Broken, most.Breaches)
+func TestUpperBoundServesAtLeastAsMuchAsAnyPolicy(t *testing.T) {
+	s := newScenario(t, "[[trouble]]\nkind = \"errors\"\nat = \"10s\"\nfor = \"10s\"\nsize = 0.9\ndestination = [1, 2]\n")
+	bound := run(t, s, 1, policy.BoundName)
+	assert.Zero(t, bound.Broken, bound.Violations)
 	for _, p := range []string{policy.ModuleName, "none", "backoff/two", "budget/least", "throttle/robin"} {
-		assert.LessOrEqual(t, play(t, s, 1, p).Service, most.Service+.005, p)
+		assert.LessOrEqual(t, run(t, s, 1, p).Service, bound.Service+.005, p)
 	}
 }
 
 func BenchmarkDay(b *testing.B) {
 	for _, p := range []string{policy.ModuleName, "backoff"} {
 		b.Run(p, func(b *testing.B) {
-			s := day(b, "")
+			s := newScenario(b, "")
 			events := uint64(0)
 			for b.Loop() {
-				events += play(b, s, 1, p).Events
+				events += run(b, s, 1, p).Events
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
--- a/internal/links/bench_test.go
+++ b/internal/links/bench_test.go
@@ -12,17 +12,17 @@
 	"go.uber.org/zap"
 )
 
-type counted struct {
+type countingListener struct {
 	net.Listener
 	in, out *atomic.Int64
 }
 
 type countedConn struct {
 	net.Conn
-	l counted
+	l countingListener
 }
 
-func (l counted) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	return countedConn{c, l}, err
 }
@@ -39,22 +39,22 @@
 	return n, err
 }
 
-// BenchmarkPost tells the bytes on the wire of one post, both ways, by the frames of 40 bytes in it.
+// BenchmarkPost measures the bytes on the wire of one post, both ways, by the number of 40-byte frames in it.
 func BenchmarkPost(b *testing.B) {
 	for _, frames := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(frames), func(b *testing.B) {
-			hears := open(b, zap.NewNop(), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
-			hears.listener = counted{hears.listener, &atomic.Int64{}, &atomic.Int64{}}
-			a := open(b, zap.NewNop(), "a", "127.0.0.1:0", Peer{"b", hears.Addr()})
-			stopB, stopA := hears.run(b), a.run(b)
+			receiver := open(b, zap.NewNop(), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
+			receiver.listener = countingListener{receiver.listener, &atomic.Int64{}, &atomic.Int64{}}
+			a := open(b, zap.NewNop(), "a", "127.0.0.1:0", Peer{"b", receiver.Addr()})
+			stopB, stopA := receiver.run(b), a.run(b)
 			round := func(n int) {
 				for i := range frames {
-					a.Send("b", note(fmt.Sprintf("d%d", i), fmt.Sprintf("%40d", n)))
+					a.Send("b", verdictFrame(fmt.Sprintf("d%d", i), fmt.Sprintf("%40d", n)))
 				}
-				require.Eventually(b, hears.has(fmt.Sprintf("d%d", frames-1), fmt.Sprintf("%40d", n)), long, glimpse)
+				require.Eventually(b, receiver.has(fmt.Sprintf("d%d", frames-1), fmt.Sprintf("%40d", n)), testTimeout, pollInterval)
 			}
-			round(-1) // greets
-			l := hears.listener.(counted)
+			round(-1) // sends the greeting
+			l := receiver.listener.(countingListener)
 			in, out, posts := l.in.Load(), l.out.Load(), a.Counts().Posts
 			for n := range b.N {
 				round(n)
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkPeers tells what each of 99 peers costs in memory: its queue empty, with a live connection each way.
+// BenchmarkPeers measures the memory of each of 99 peers with an empty queue and a live connection each way.
 func BenchmarkPeers(b *testing.B) {
 	for range b.N {
 		const n = 99
@@ -83,8 +83,8 @@
 		runtime.ReadMemStats(&before)
 		hub := open(b, zap.NewNop(), "hub", "127.0.0.1:0", peers...)
 		stop := hub.run(b)
-		hub.Send("", note("d", "x"))
-		require.Eventually(b, func() bool { return hub.Counts().Sent == n }, long, 10*time.Millisecond)
+		hub.Send("", verdictFrame("d", "x"))
+		require.Eventually(b, func() bool { return hub.Counts().Sent == n }, testTimeout, 10*time.Millisecond)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/n, "B/link-both-ends")
--- a/internal/links/frame.go
+++ b/internal/links/frame.go
@@ -6,10 +6,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind says which module a frame is for.
+// Kind selects the module that a frame is for.
 type Kind uint8
 
-// The kinds.
+// The kinds of frames.
 const (
 	Members Kind = iota + 1
 	Shares
@@ -25,29 +25,32 @@
 	return [...]string{"members", "shares", "verdicts", "purge", "channels"}[k-Members]
 }
 
-// Frame is one thing told. A newer frame of the same kind and slot takes the place of an older one that waits.
+// Frame is one message between senders. A newer frame of the same kind and slot replaces an older one that is still
+// queued.
 type Frame struct {
 	Kind Kind
 	Slot string
 	Body []byte
-	Age  int64 // µs; of a frame heard: at most so long ago it was handed to Send, by clocks that drift little. Not read by Send
+	Age  int64 // µs; of a received frame: upper bound of the time since Send, if clocks drift little. Send ignores it
 }
 
-func (f Frame) fits() bool { return len(f.Body) <= frameBytes && len(f.Slot) <= slotBytes }
+func (f Frame) withinLimits() bool {
+	return len(f.Body) <= maxFrameBytes && len(f.Slot) <= maxSlotBytes
+}
 
 func (f Frame) size() int { return len(f.Body) + len(f.Slot) + 16 }
 
-// Hello says who sends.
+// Hello identifies the sending process.
 type Hello struct {
 	Fleet, Name         string
 	Version             uint16
 	Incarnation, Folder uint64
 }
 
-// post is one body on the wire. Its fields are numbered; those of later versions are ignored.
+// post is the body of one request. Its fields are numbered; unknown fields of later versions are ignored.
 //
-// Stamp is the hearer's own clock as its latest answer told it, Held for how long the sender has had that answer. What has passed
-// since, beyond Held, bounds the time on the way without any comparison of two clocks.
+// Stamp is the receiver's own clock as reported in its latest answer, and Held is how long the sender has had that
+// answer. The receiver subtracts both from its clock, which bounds the transit time without comparing two clocks.
 type post struct {
 	Fleet       string      `cbor:"1,keyasint"`
 	Name        string      `cbor:"2,keyasint"`
@@ -67,7 +70,7 @@
 	Waited int64  `cbor:"4,keyasint,omitempty"` // µs in the sender's queue
 }
 
-// answer is a post's. Fleet, name and version come with a greeting and with a refused stamp alone.
+// answer is the response to a post. Fleet, Name and Version are set only in response to a greeting or a rejected stamp.
 type answer struct {
 	Boot    uint64 `cbor:"1,keyasint"`
 	Stamp   int64  `cbor:"2,keyasint"`
@@ -76,35 +79,36 @@
 	Version uint16 `cbor:"5,keyasint,omitempty"`
 }
 
-var decoding = must(cbor.DecOptions{MaxArrayElements: 4 * batchFrames, MaxMapPairs: 64, MaxNestedLevels: 8,
+var decMode = must(cbor.DecOptions{MaxArrayElements: 4 * maxBatchFrames, MaxMapPairs: 64, MaxNestedLevels: 8,
 	IndefLength: cbor.IndefLengthForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF, TagsMd: cbor.TagsForbidden}.DecMode())
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // constant options
+		panic(err) // the options are constant
 	}
 	return v
 }
 
-var errNegative = errors.New("a time below 0")
+var errNegativeTime = errors.New("negative time")
 
 func decodePost(body []byte) (p post, err error) {
-	if err = decoding.Unmarshal(body, &p); err != nil {
+	if err = decMode.Unmarshal(body, &p); err != nil {
 		return post{}, err
 	}
 	if p.Held < 0 || p.Stamp < 0 {
-		return post{}, errNegative
+		return post{}, errNegativeTime
 	}
 	for _, f := range p.Frames {
 		if f.Waited < 0 {
-			return post{}, errNegative
+			return post{}, errNegativeTime
 		}
 	}
 	return p, nil
 }
 
-// Peek reads a post's body as tests see it on the wire. A frame's Age is its time in the queue.
-func Peek(body []byte) (from Hello, frames []Frame, err error) {
+// DecodeBody decodes a request body for tests that inspect the wire. Age of a returned frame is its time in the
+// sender's queue.
+func DecodeBody(body []byte) (from Hello, frames []Frame, err error) {
 	p, err := decodePost(body)
 	for _, f := range p.Frames {
 		frames = append(frames, Frame{f.Kind, f.Slot, f.Body, f.Waited})
@@ -116,10 +120,11 @@
 	return Hello{Fleet: p.Fleet, Name: p.Name, Version: p.Version, Incarnation: p.Incarnation, Folder: p.Folder}
 }
 
-// onWay bounds the time a post was on its way, in µs; false if it names no stamp of this process.
-func (p post) onWay(boot uint64, now int64) (int64, bool) {
+// transitTime returns an upper bound of the time a post was in transit, in µs; false if its stamp is not of this
+// process.
+func (p post) transitTime(boot uint64, now int64) (int64, bool) {
 	if p.Boot != boot || p.Stamp > now {
 		return 0, false
 	}
-	return max(0, now-p.Stamp-p.Held+p.Held/drift), true
+	return max(0, now-p.Stamp-p.Held+p.Held/driftDivisor), true
 }
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -22,47 +22,47 @@
 )
 
 const (
-	long    = 20 * time.Second // a limit that no good run reaches
-	glimpse = time.Millisecond
+	testTimeout  = 20 * time.Second // longer than any successful run takes
+	pollInterval = time.Millisecond
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ear is a sender's links and what it heard, the newest of each slot.
-type ear struct {
+// recorder is a sender's links and the newest frame that it received of each slot.
+type recorder struct {
 	*Links
-	mu    sync.Mutex
-	heard map[string]string
-	from  Hello
-	ages  []int64
+	mu     sync.Mutex
+	frames map[string]string
+	sender Hello
+	ages   []int64
 }
 
-func (e *ear) hear(from Hello, f Frame) {
+func (e *recorder) receive(from Hello, f Frame) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.from, e.heard[f.Slot] = from, string(f.Body)
+	e.sender, e.frames[f.Slot] = from, string(f.Body)
 	e.ages = append(e.ages, f.Age)
 }
 
-func (e *ear) has(slot, body string) func() bool {
+func (e *recorder) has(slot, body string) func() bool {
 	return func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.heard[slot] == body
+		return e.frames[slot] == body
 	}
 }
 
-func open(t testing.TB, log *zap.Logger, name, listen string, peers ...Peer) *ear {
+func open(t testing.TB, log *zap.Logger, name, listen string, peers ...Peer) *recorder {
 	t.Helper()
-	e := &ear{heard: map[string]string{}}
+	e := &recorder{frames: map[string]string{}}
 	var err error
-	e.Links, err = New(log, Hello{Fleet: "f", Name: name, Incarnation: 7, Folder: 9}, peers, listen, e.hear)
+	e.Links, err = New(log, Hello{Fleet: "f", Name: name, Incarnation: 7, Folder: 9}, peers, listen, e.receive)
 	require.NoError(t, err)
-	e.start = e.start.Add(-time.Minute) // so that there are stamps to be too old
+	e.start = e.start.Add(-time.Minute) // so that a stamp can be too old
 	return e
 }
 
-func (e *ear) run(t testing.TB) (stop func()) {
+func (e *recorder) run(t testing.TB) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- e.Run(ctx) }()
@@ -77,32 +77,34 @@
 	return stop
 }
 
-func note(slot, body string) Frame { return Frame{Kind: Verdicts, Slot: slot, Body: []byte(body)} }
+func verdictFrame(slot, body string) Frame {
+	return Frame{Kind: Verdicts, Slot: slot, Body: []byte(body)}
+}
 
-func TestFramesReachPeersAndTheNewestOfASlotIsHeard(t *testing.T) {
+func TestSendDeliversNewestFrameOfSlot(t *testing.T) {
 	t.Parallel()
 	b := open(t, zap.NewNop(), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
 	a := open(t, zap.NewNop(), "a", "127.0.0.1:0", Peer{"b", b.Addr()})
-	a.Send("b", note("d", "old"))
-	a.Send("", note("d", "new"))
-	a.Send("nobody", note("d", "lost"))
-	a.farewell = long
+	a.Send("b", verdictFrame("d", "old"))
+	a.Send("", verdictFrame("d", "new"))
+	a.Send("nobody", verdictFrame("d", "lost"))
+	a.shutdownTimeout = testTimeout
 	b.run(t)
 	stop := a.run(t)
-	require.Eventually(t, b.has("d", "new"), long, glimpse)
-	a.Send("b", note("e", "last words"))
+	require.Eventually(t, b.has("d", "new"), testTimeout, pollInterval)
+	a.Send("b", verdictFrame("e", "last words"))
 	stop()
-	require.Eventually(t, b.has("e", "last words"), long, glimpse, "what waits goes out when the links close")
-	require.Equal(t, Hello{"f", "a", Version, 7, 9}, b.from)
+	require.Eventually(t, b.has("e", "last words"), testTimeout, pollInterval, "queued frames are sent when the links close")
+	require.Equal(t, Hello{"f", "a", Version, 7, 9}, b.sender)
 	require.Equal(t, uint64(1), a.Counts().Replaced)
-	require.Equal(t, uint64(2), b.Counts().Heard)
+	require.Equal(t, uint64(2), b.Counts().Received)
 	for _, age := range b.ages {
-		require.Less(t, age, (waitMost + lateAfter).Microseconds())
+		require.Less(t, age, (maxQueueAge + maxTransit).Microseconds())
 	}
 }
 
-// deaf accepts and never answers; release closes it, and its port is given to nobody else.
-func deaf(t *testing.T) (addr string, release func()) {
+// listenSilently accepts connections and never answers; release closes the listener, and its port stays reserved.
+func listenSilently(t *testing.T) (addr string, release func()) {
 	port, err := loopback.Reserve("127.0.0.1")
 	require.NoError(t, err)
 	t.Cleanup(port.Release)
@@ -112,62 +114,62 @@
 	return l.Addr().String(), func() { require.NoError(t, l.Close()) }
 }
 
-func TestAStalledPeerCostsTheOthersNothingAndIsHeardLaterWithFreshFramesAlone(t *testing.T) {
+func TestStalledPeerDoesNotDelayOthersAndGetsOnlyFreshFrames(t *testing.T) {
 	t.Parallel()
-	stalled, release := deaf(t)
+	stalled, release := listenSilently(t)
 	good := open(t, zap.NewNop(), "good", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
 	good.run(t)
 	a := open(t, zap.NewNop(), "a", "127.0.0.1:0", Peer{"good", good.Addr()}, Peer{"stalled", stalled})
 	a.run(t)
-	a.Send("stalled", note("first", "long ago"))
-	for i := range 3 * queueFrames {
-		a.Send("stalled", note(fmt.Sprint(i), "x"))
+	a.Send("stalled", verdictFrame("first", "long ago"))
+	for i := range 3 * maxQueueFrames {
+		a.Send("stalled", verdictFrame(fmt.Sprint(i), "x"))
 	}
-	a.Send("good", note("d", "1"))
-	require.Eventually(t, good.has("d", "1"), postWithin, glimpse, "while the stalled peer's post is out")
+	a.Send("good", verdictFrame("d", "1"))
+	require.Eventually(t, good.has("d", "1"), postTimeout, pollInterval, "while the post to the stalled peer is in flight")
 	require.Positive(t, a.Counts().Dropped)
-	require.Eventually(t, func() bool { return a.Counts().Failed > 0 && a.Counts().Stale > 0 }, long, glimpse)
+	require.Eventually(t, func() bool { return a.Counts().Failed > 0 && a.Counts().Stale > 0 }, testTimeout, pollInterval)
 	release()
 	late := open(t, zap.NewNop(), "stalled", stalled, Peer{"a", "127.0.0.1:1"})
 	late.run(t)
-	require.Eventually(t, func() bool { a.Send("stalled", note("d", "2")); return late.has("d", "2")() }, long, glimpse)
-	require.False(t, late.has("first", "long ago")(), "what waited too long is not told")
+	require.Eventually(t, func() bool { a.Send("stalled", verdictFrame("d", "2")); return late.has("d", "2")() }, testTimeout, pollInterval)
+	require.False(t, late.has("first", "long ago")(), "expired frames are not sent")
 }
 
-func TestAPeerThatBeganAnewIsGreetedAgain(t *testing.T) {
+func TestRestartedPeerIsGreetedAgain(t *testing.T) {
 	t.Parallel()
 	b := open(t, zap.NewNop(), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
 	stop := b.run(t)
 	a := open(t, zap.NewNop(), "a", "127.0.0.1:0", Peer{"b", b.Addr()})
 	a.run(t)
-	a.Send("b", note("d", "1"))
-	require.Eventually(t, b.has("d", "1"), long, glimpse)
+	a.Send("b", verdictFrame("d", "1"))
+	require.Eventually(t, b.has("d", "1"), testTimeout, pollInterval)
 	stop()
 	again := open(t, zap.NewNop(), "b", b.Addr(), Peer{"a", "127.0.0.1:1"})
 	again.run(t)
-	a.Send("b", note("d", "2"))
-	require.Eventually(t, again.has("d", "2"), long, glimpse)
+	a.Send("b", verdictFrame("d", "2"))
+	require.Eventually(t, again.has("d", "2"), testTimeout, pollInterval)
 }
 
-func TestARestEndsWhenThePeerShowsUp(t *testing.T) {
+func TestBackoffEndsWhenPeerIsSeen(t *testing.T) {
 	t.Parallel()
 	p := newPeer(open(t, zap.NewNop(), "a", "127.0.0.1:0").Links, Peer{"b", "127.0.0.1:1"})
 	done := make(chan bool)
-	go func() { done <- p.rest(context.Background(), time.Hour) }()
+	go func() { done <- p.backOff(context.Background(), time.Hour) }()
 	require.Eventually(t, func() bool {
-		p.showed()
+		p.markSeen()
 		select {
 		case up := <-done:
 			return up
 		default:
 			return false
 		}
-	}, long, glimpse)
+	}, testTimeout, pollInterval)
 	require.NoError(t, p.l.listener.Close())
 }
 
-// say posts a body and tells the status.
-func say(t *testing.T, e *ear, body []byte) int {
+// postBody posts a body and returns the status.
+func postBody(t *testing.T, e *recorder, body []byte) int {
 	t.Helper()
 	one := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := one.Post("http://"+e.Addr(), "", bytes.NewReader(body))
@@ -176,12 +178,12 @@
 	return res.StatusCode
 }
 
-func TestWhatDoesNotFitIsRefusedCountedAndNamedOnce(t *testing.T) {
+func TestInvalidPostsAreRejectedCountedAndLoggedOnce(t *testing.T) {
 	t.Parallel()
-	core, seen := observer.New(zap.WarnLevel)
+	core, logs := observer.New(zap.WarnLevel)
 	b := open(t, zap.New(core), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
 	b.run(t)
-	fit := func() post {
+	valid := func() post {
 		return post{Fleet: "f", Name: "a", Version: 1, Boot: b.boot, Stamp: b.now(), Frames: []wireFrame{{Verdicts, "d", []byte("x"), 5}}}
 	}
 	for name, c := range map[string]struct {
@@ -193,37 +195,37 @@
 		"no version":      {func(p *post) { p.Version = 0 }, 426, OldVersion},
 		"stranger":        {func(p *post) { p.Name = "x" }, 403, Unlisted},
 		"its own name":    {func(p *post) { p.Name = "b" }, 403, Unlisted},
-		"late":            {func(p *post) { p.Stamp -= lateAfter.Microseconds() + 1 }, 409, Late},
+		"late":            {func(p *post) { p.Stamp -= maxTransit.Microseconds() + 1 }, 409, Late},
 		"long held":       {func(p *post) { p.Stamp, p.Held = p.Stamp-5e6, 5e6 }, 200, ""},
 		"other boot":      {func(p *post) { p.Boot++ }, 409, ""},
 		"future":          {func(p *post) { p.Stamp += 1e9 }, 409, ""},
 		"unknown kind":    {func(p *post) { p.Frames[0].Kind = 200 }, 200, UnknownKind},
-		"oversized frame": {func(p *post) { p.Frames[0].Body = make([]byte, frameBytes+1) }, 200, Oversized},
-		"oversized":       {func(p *post) { p.Frames[0].Body = make([]byte, postBytes) }, 413, Oversized},
-		"too many":        {func(p *post) { p.Frames = make([]wireFrame, 5*batchFrames) }, 400, Torn},
-		"negative":        {func(p *post) { p.Frames[0].Waited = -1 }, 400, Torn},
+		"oversized frame": {func(p *post) { p.Frames[0].Body = make([]byte, maxFrameBytes+1) }, 200, Oversized},
+		"oversized":       {func(p *post) { p.Frames[0].Body = make([]byte, maxPostBytes) }, 413, Oversized},
+		"too many":        {func(p *post) { p.Frames = make([]wireFrame, 5*maxBatchFrames) }, 400, Malformed},
+		"negative":        {func(p *post) { p.Frames[0].Waited = -1 }, 400, Malformed},
 	} {
-		p := fit()
+		p := valid()
 		c.change(&p)
 		body, err := cbor.Marshal(p)
 		require.NoError(t, err)
-		before, heard := b.Counts().Refused[c.cause], b.Counts().Heard
-		require.Equal(t, c.status, say(t, b, body), name)
+		before, received := b.Counts().Refused[c.cause], b.Counts().Received
+		require.Equal(t, c.status, postBody(t, b, body), name)
 		if c.cause != "" {
 			require.Equal(t, before+1, b.Counts().Refused[c.cause], name)
 		}
-		require.Equal(t, c.status == 200 && c.cause == "", b.Counts().Heard > heard, name)
+		require.Equal(t, c.status == 200 && c.cause == "", b.Counts().Received > received, name)
 	}
-	whole, err := cbor.Marshal(fit())
+	whole, err := cbor.Marshal(valid())
 	require.NoError(t, err)
 	for n := range len(whole) {
-		require.Equal(t, 400, say(t, b, whole[:n]), "torn at %d", n)
+		require.Equal(t, 400, postBody(t, b, whole[:n]), "torn at %d", n)
 	}
 	newer, err := cbor.Marshal(map[int]any{1: "f", 2: "a", 3: 9, 77: "a later field"})
 	require.NoError(t, err)
-	require.Equal(t, 200, say(t, b, newer))
+	require.Equal(t, 200, postBody(t, b, newer))
 	lines := map[string]int{}
-	for _, l := range seen.All() {
+	for _, l := range logs.All() {
 		lines[fmt.Sprint(l.ContextMap()["peer"], l.ContextMap()["cause"])]++
 	}
 	require.Len(t, lines, 8)
@@ -232,78 +234,78 @@
 	}
 }
 
-func TestAnotherSenderAtAPeersAddressIsNotToldAnything(t *testing.T) {
+func TestWrongPeerReceivesNoFrames(t *testing.T) {
 	t.Parallel()
 	b := open(t, zap.NewNop(), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
 	b.run(t)
 	a := open(t, zap.NewNop(), "a", "127.0.0.1:0", Peer{"c", b.Addr()})
 	a.run(t)
-	a.Send("c", note("d", "1"))
-	require.Eventually(t, func() bool { return a.Counts().Refused[Misled] > 0 }, long, glimpse)
-	require.Zero(t, b.Counts().Heard)
-	a.Send("c", Frame{Kind: Purge, Body: make([]byte, frameBytes+1)})
+	a.Send("c", verdictFrame("d", "1"))
+	require.Eventually(t, func() bool { return a.Counts().Refused[WrongPeer] > 0 }, testTimeout, pollInterval)
+	require.Zero(t, b.Counts().Received)
+	a.Send("c", Frame{Kind: Purge, Body: make([]byte, maxFrameBytes+1)})
 	require.Equal(t, uint64(1), a.Counts().Refused[Oversized])
 }
 
-func TestFloodsOfConnectionsAndPostsAreBounded(t *testing.T) {
+func TestConnectionsAndPostRatesAreLimited(t *testing.T) {
 	t.Parallel()
 	b := open(t, zap.NewNop(), "b", "127.0.0.1:0", Peer{"a", "127.0.0.1:1"})
-	b.hearing.rates["a"] = rate.NewLimiter(0, 1)
+	b.server.rates["a"] = rate.NewLimiter(0, 1)
 	b.run(t)
 	body, err := cbor.Marshal(post{Fleet: "f", Name: "a", Version: 1})
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, say(t, b, body))
-	require.Equal(t, http.StatusTooManyRequests, say(t, b, body))
-	before := b.Counts().Refused[Flooding]
-	for range connsEach + connsSpare + 5 {
+	require.Equal(t, http.StatusOK, postBody(t, b, body))
+	require.Equal(t, http.StatusTooManyRequests, postBody(t, b, body))
+	before := b.Counts().Refused[RateExceeded]
+	for range connsPerPeer + extraConns + 5 {
 		c, err := net.Dial("tcp", b.Addr())
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
 	}
-	require.Eventually(t, func() bool { return b.Counts().Refused[Flooding] >= before+5 }, long, glimpse)
+	require.Eventually(t, func() bool { return b.Counts().Refused[RateExceeded] >= before+5 }, testTimeout, pollInterval)
 }
 
-func TestQueueIsBoundedAndHoldsTheNewestOfEachSlot(t *testing.T) {
+func TestQueueIsBoundedAndKeepsNewestOfEachSlot(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		q := newQueue(&tally{})
-		newest, out := map[string]int64{}, []waiting(nil)
+		q := newQueue(&counters{})
+		newest, out := map[string]int64{}, []queuedFrame(nil)
 		for at := int64(0); at < 60; at++ {
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0:
-				out = q.take(at)
+				out = q.takeBatch(at)
 				for _, f := range out {
-					require.GreaterOrEqual(t, f.at, newest[f.Slot], "an older one of a slot never follows a newer one")
-					newest[f.Slot] = f.at
+					require.GreaterOrEqual(t, f.queuedAt, newest[f.Slot], "an older frame of a slot never follows a newer one")
+					newest[f.Slot] = f.queuedAt
 				}
 			case 1:
-				q.back(out)
+				q.requeue(out)
 				out = nil
 			default:
 				name := fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "slot"))
-				q.put(Frame{Kind: Shares, Slot: name, Body: make([]byte, rapid.IntRange(0, frameBytes).Draw(t, "size"))}, at)
+				q.enqueue(Frame{Kind: Shares, Slot: name, Body: make([]byte, rapid.IntRange(0, maxFrameBytes).Draw(t, "size"))}, at)
 			}
 			bytes := 0
 			for e := q.order.Front(); e != nil; e = e.Next() {
-				bytes += e.Value.(waiting).size()
+				bytes += e.Value.(queuedFrame).size()
 			}
 			require.Equal(t, bytes, q.bytes)
-			require.LessOrEqual(t, bytes, queueBytes)
+			require.LessOrEqual(t, bytes, maxQueueBytes)
 			require.Equal(t, q.order.Len(), len(q.slots))
 		}
-		require.Empty(t, q.take(60+waitMost.Microseconds()+60))
+		require.Empty(t, q.takeBatch(60+maxQueueAge.Microseconds()+60))
 		require.Zero(t, q.bytes)
 	})
 }
 
-func TestTheTableNamesItsFaults(t *testing.T) {
+func TestTableValidateReportsFaults(t *testing.T) {
 	t.Parallel()
 	bad := map[string]bool{}
-	Table{Self: "a", Listen: "nowhere", Peers: []PeerTable{{"a", "h:1"}, {"b", "h:1"}, {"c", "h:0"}}}.Check(func(s, _ string) { bad[s] = true })
+	Table{Self: "a", Listen: "nowhere", Peers: []PeerTable{{"a", "h:1"}, {"b", "h:1"}, {"c", "h:0"}}}.Validate(func(s, _ string) { bad[s] = true })
 	require.Equal(t, map[string]bool{"name": true, "listen": true, "peer.0.name": true, "peer.1.address": true, "peer.2.address": true}, bad)
 	good := Table{Fleet: "f", Self: "a", Listen: "h:1", Peers: []PeerTable{{"b", "h:2"}}}
-	good.Check(func(s, what string) { t.Error(s, what) })
-	require.Equal(t, []Peer{{"b", "h:2"}}, good.List())
+	good.Validate(func(s, what string) { t.Error(s, what) })
+	require.Equal(t, []Peer{{"b", "h:2"}}, good.PeerList())
 }
 
 func FuzzDecodePost(f *testing.F) {
@@ -317,7 +319,7 @@
 		if err != nil {
 			return
 		}
-		if way, ok := p.onWay(p.Boot, 1<<40); ok && way < 0 || len(p.Frames) > 4*batchFrames {
+		if way, ok := p.transitTime(p.Boot, 1<<40); ok && way < 0 || len(p.Frames) > 4*maxBatchFrames {
 			t.Fatal(way, len(p.Frames))
 		}
 		if _, err := cbor.Marshal(p); err != nil {
--- a/internal/links/peer.go
+++ b/internal/links/peer.go
@@ -13,96 +13,97 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Peer is another sender, and where this one reaches it.
+// Peer is another sender and its address.
 type Peer struct {
 	Name string
-	Addr string // every directed link has an address of its own
+	Addr string // each directed link has its own address
 }
 
-// phase of the link to a peer.
+// phase is the state of the link to a peer.
 type phase uint8
 
 const (
-	strange phase = iota // no stamp of the peer's process is held: the next post is a greeting
-	known                // posts carry frames
+	needsGreeting phase = iota // no stamp of the peer's process is known: the next post is a greeting without frames
+	greeted                    // posts carry frames
 )
 
-// outcome of a post.
+// outcome is the result of a post.
 type outcome uint8
 
 const (
-	good    outcome = iota
-	unknown         // the peer holds the stamp for too old or not its own, and has told another
-	failed          // nothing that counts came back in time
-	refused         // the peer will refuse the same again
+	delivered  outcome = iota
+	staleStamp         // the peer rejected the stamp as too old or not its own, and returned a new one
+	failed             // no valid answer in time
+	rejected           // the peer will reject the same post again
 )
 
-// peer is the sending half of one directed link: one goroutine, one connection, one post at a time.
+// peer is the sending side of one directed link: one goroutine, one connection, one post at a time.
 type peer struct {
 	*queue
 	Peer
 	l      *Links
 	client *http.Client
-	shows  chan struct{} // holds one token since the peer was heard: it is up, so a long rest ends
+	seen   chan struct{} // holds a token after the peer was heard from: it is up, so a long backoff ends
 
-	// Of the link's goroutine alone.
-	phase phase
-	told  answer
-	since int64 // µs, when told came
-	fails int
+	// Used only by the link's goroutine.
+	phase      phase
+	lastAnswer answer
+	answeredAt int64 // µs, when lastAnswer arrived
+	failures   int
 }
 
 func newPeer(l *Links, p Peer) *peer {
-	dial := net.Dialer{Timeout: postWithin, KeepAlive: -1}
-	return &peer{queue: newQueue(&l.tally), Peer: p, l: l, shows: make(chan struct{}, 1), client: &http.Client{Transport: &http.Transport{
+	dial := net.Dialer{Timeout: postTimeout, KeepAlive: -1}
+	return &peer{queue: newQueue(&l.counters), Peer: p, l: l, seen: make(chan struct{}, 1), client: &http.Client{Transport: &http.Transport{
 		DialContext: dial.DialContext, DisableCompression: true, MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1,
-		IdleConnTimeout: idleAfter * 4 / 5, MaxResponseHeaderBytes: headBytes, WriteBufferSize: 2 << 10, ReadBufferSize: 1 << 10}}}
+		IdleConnTimeout: idleTimeout * 4 / 5, MaxResponseHeaderBytes: maxHeaderBytes, WriteBufferSize: 2 << 10, ReadBufferSize: 1 << 10}}}
 }
 
-// run sends what waits until the context ends, and then its last words.
+// run sends queued frames until the context ends, then flushes the queue.
 func (p *peer) run(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
-	posting, stopPosting := context.WithCancel(context.Background())
+	postCtx, stopPosting := context.WithCancel(context.Background())
 	defer stopPosting()
-	last, cancel := context.WithCancel(context.Background())
+	flushCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
-		time.AfterFunc(p.l.farewell/lastTries, stopPosting) // danger: a post that hangs would take all the time there is
-		time.AfterFunc(p.l.farewell, cancel)
+		time.AfterFunc(p.l.shutdownTimeout/shutdownAttempts, stopPosting) // cancels a hanging post, which would otherwise use up the whole shutdown timeout
+		time.AfterFunc(p.l.shutdownTimeout, cancel)
 	})()
-	for p.pause(ctx, p.wake, 0) && p.pause(ctx, nil, linger) {
-		batch := p.take(p.l.now())
+	for p.pause(ctx, p.wake, 0) && p.pause(ctx, nil, batchDelay) {
+		batch := p.takeBatch(p.l.now())
 		if len(batch) == 0 {
 			continue
 		}
-		if !p.rest(ctx, p.step(p.deliver(posting, batch))) {
+		if !p.backOff(ctx, p.transition(p.deliver(postCtx, batch))) {
 			break
 		}
 	}
-	p.lastWords(last)
+	p.flush(flushCtx)
 }
 
-// lastWords posts what waits until it is through or the context ends, whatever became of the post before: a sender that ends has no later one.
-func (p *peer) lastWords(ctx context.Context) {
+// flush posts the queued frames until none is left or the context ends, even if the post before failed: a sender that
+// shuts down has no later attempt.
+func (p *peer) flush(ctx context.Context) {
 	for ctx.Err() == nil {
-		batch := p.take(p.l.now())
+		batch := p.takeBatch(p.l.now())
 		if len(batch) == 0 {
 			return
 		}
-		if p.told.Boot != 0 {
-			p.phase = known // a greeting would cost a way there and back, and the stamp held may still count
+		if p.lastAnswer.Boot != 0 {
+			p.phase = greeted // a greeting would cost a round trip, and the known stamp may still be valid
 		}
-		try, cancel := context.WithTimeout(ctx, p.l.farewell/lastTries)
-		o := p.deliver(try, batch)
+		tryCtx, cancel := context.WithTimeout(ctx, p.l.shutdownTimeout/shutdownAttempts)
+		result := p.deliver(tryCtx, batch)
 		cancel()
-		p.step(o)
-		if o == refused || o != good && !p.pause(ctx, nil, restLeast) {
+		p.transition(result)
+		if result == rejected || result != delivered && !p.pause(ctx, nil, minBackoff) {
 			return
 		}
 	}
 }
 
-// pause waits for a token or, without a channel, for a time; false when the context has ended.
+// pause waits for a token or, without a channel, for a duration; it returns false if the context has ended.
 func (p *peer) pause(ctx context.Context, c <-chan struct{}, d time.Duration) bool {
 	if c == nil && d == 0 {
 		return ctx.Err() == nil
@@ -122,152 +123,152 @@
 	return true
 }
 
-// rest waits after a failure, the least time in any case, and longer unless the peer shows up meanwhile.
-func (p *peer) rest(ctx context.Context, d time.Duration) bool {
+// backOff waits after a failure: at least minBackoff, and longer unless the peer is heard from meanwhile.
+func (p *peer) backOff(ctx context.Context, d time.Duration) bool {
 	select {
-	case <-p.shows:
+	case <-p.seen:
 	default:
 	}
-	if !p.pause(ctx, nil, min(d, restLeast)) {
+	if !p.pause(ctx, nil, min(d, minBackoff)) {
 		return false
 	}
-	if d <= restLeast {
+	if d <= minBackoff {
 		return true
 	}
-	long, cancel := context.WithTimeout(ctx, d-restLeast)
+	long, cancel := context.WithTimeout(ctx, d-minBackoff)
 	defer cancel()
 	select {
 	case <-long.Done():
-	case <-p.shows:
+	case <-p.seen:
 	}
 	return ctx.Err() == nil
 }
 
-// showed takes in that the peer was heard.
-func (p *peer) showed() {
+// markSeen records that the peer was heard from.
+func (p *peer) markSeen() {
 	select {
-	case p.shows <- struct{}{}:
+	case p.seen <- struct{}{}:
 	default:
 	}
 }
 
-// step changes the link's state after a batch, and says how long to rest.
-func (p *peer) step(o outcome) time.Duration {
+// transition updates the link's state after a batch and returns how long to back off.
+func (p *peer) transition(o outcome) time.Duration {
 	switch o {
-	case good:
-		p.phase, p.fails = known, 0
+	case delivered:
+		p.phase, p.failures = greeted, 0
 		return 0
-	case unknown:
-		p.phase = known
+	case staleStamp:
+		p.phase = greeted
 	default:
-		p.phase = strange
-		p.l.tally.failed.Add(1)
+		p.phase = needsGreeting
+		p.l.counters.failed.Add(1)
 	}
-	p.fails++
-	top := min(restMost, restLeast<<min(p.fails-1, 10))
-	return top/2 + rand.N(top/2)
+	p.failures++
+	limit := min(maxBackoff, minBackoff<<min(p.failures-1, 10))
+	return limit/2 + rand.N(limit/2)
 }
 
-// deliver greets if need be and posts a batch; frames that may yet be heard go back to the queue.
-func (p *peer) deliver(ctx context.Context, batch []waiting) outcome {
-	o := good
-	if p.phase == strange {
-		o = p.post(ctx, nil)
+// deliver greets the peer if needed and posts a batch; frames that may still be accepted are requeued.
+func (p *peer) deliver(ctx context.Context, batch []queuedFrame) outcome {
+	result := delivered
+	if p.phase == needsGreeting {
+		result = p.post(ctx, nil)
 	}
-	if o == good {
-		if o = p.post(ctx, batch); o == unknown { // the peer began anew, or the stamp got old unseen: once more, with the new one
-			o = p.post(ctx, batch)
+	if result == delivered {
+		if result = p.post(ctx, batch); result == staleStamp { // the peer restarted, or the stamp expired unnoticed: retry once with the new one
+			result = p.post(ctx, batch)
 		}
 	}
-	switch o {
-	case good:
-		p.l.tally.sent.Add(uint64(len(batch)))
-	case refused:
-		p.l.tally.dropped.Add(uint64(len(batch)))
+	switch result {
+	case delivered:
+		p.l.counters.sent.Add(uint64(len(batch)))
+	case rejected:
+		p.l.counters.dropped.Add(uint64(len(batch)))
 	default:
-		p.back(batch)
+		p.requeue(batch)
 	}
-	return o
+	return result
 }
 
-func (p *peer) encode(batch []waiting) ([]byte, error) {
+func (p *peer) encode(batch []queuedFrame) ([]byte, error) {
 	h, now := p.l.hello, p.l.now()
 	body := post{Fleet: h.Fleet, Name: h.Name, Version: h.Version, Incarnation: h.Incarnation, Folder: h.Folder}
 	if len(batch) > 0 {
-		body.Boot, body.Stamp, body.Held = p.told.Boot, p.told.Stamp, now-p.since
+		body.Boot, body.Stamp, body.Held = p.lastAnswer.Boot, p.lastAnswer.Stamp, now-p.answeredAt
 	}
 	for _, f := range batch {
-		body.Frames = append(body.Frames, wireFrame{f.Kind, f.Slot, f.Body, now - f.at})
+		body.Frames = append(body.Frames, wireFrame{f.Kind, f.Slot, f.Body, now - f.queuedAt})
 	}
 	return cbor.Marshal(body)
 }
 
-// post posts a batch, or a greeting.
-func (p *peer) post(ctx context.Context, batch []waiting) outcome {
-	ctx, cancel := context.WithTimeout(ctx, postWithin)
+// post sends a batch, or a greeting if the batch is empty.
+func (p *peer) post(ctx context.Context, batch []queuedFrame) outcome {
+	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
 	body, err := p.encode(batch)
 	if err != nil {
-		return refused
+		return rejected
 	}
-	out, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr+path, bytes.NewReader(body))
+	out, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr+postPath, bytes.NewReader(body))
 	if err != nil {
-		return refused
+		return rejected
 	}
 	out.Header["User-Agent"] = nil
-	out.GetBody = nil // the transport repeats nothing by itself
-	p.l.tally.bytesOut.Add(uint64(len(body)))
+	out.GetBody = nil // prevents the transport from retrying on its own
+	p.l.counters.bytesOut.Add(uint64(len(body)))
 	res, err := p.client.Do(out)
 	if err != nil {
 		return failed
 	}
 	defer func() { _ = res.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(res.Body, headBytes))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxHeaderBytes))
 	if err != nil {
 		return failed
 	}
-	p.l.tally.posts.Add(1)
-	return p.read(res.StatusCode, text, len(batch) == 0)
+	p.l.counters.posts.Add(1)
+	return p.handleAnswer(res.StatusCode, text, len(batch) == 0)
 }
 
-// read takes in an answer.
-func (p *peer) read(status int, text []byte, greeting bool) outcome {
+// handleAnswer processes the response to a post.
+func (p *peer) handleAnswer(status int, text []byte, greeting bool) outcome {
 	switch status {
 	case http.StatusOK, http.StatusConflict:
 	case http.StatusTooManyRequests:
 		return failed
 	default:
-		p.l.name(p.Name, Cause(fmt.Sprint("answer ", status)), "the peer refuses this sender's posts: "+string(text[:min(len(text), 80)]))
-		return refused
+		p.l.logFault(p.Name, Cause(fmt.Sprint("answer ", status)), "the peer rejects this sender's posts: "+string(text[:min(len(text), 80)]))
+		return rejected
 	}
 	var a answer
-	if err := decoding.Unmarshal(text, &a); err != nil {
-		p.l.tally.refuse(Torn)
-		p.l.name(p.Name, Torn, "an answer")
+	if err := decMode.Unmarshal(text, &a); err != nil {
+		p.l.counters.reject(Malformed)
+		p.l.logFault(p.Name, Malformed, "an answer")
 		return failed
 	}
 	if greeting || status == http.StatusConflict {
-		if c := p.misfit(a); c != "" {
-			p.l.tally.refuse(c)
-			p.l.name(p.Name, c, fmt.Sprintf("%q of fleet %q in version %d answers at %s", a.Name, a.Fleet, a.Version, p.Addr))
-			return refused
+		if c := p.mismatch(a); c != "" {
+			p.l.counters.reject(c)
+			p.l.logFault(p.Name, c, fmt.Sprintf("%q of fleet %q in version %d answers at %s", a.Name, a.Fleet, a.Version, p.Addr))
+			return rejected
 		}
-	} else if a.Boot != p.told.Boot {
+	} else if a.Boot != p.lastAnswer.Boot {
 		return failed // another process has answered in between: greet it
 	}
-	p.told, p.since = a, p.l.now()
+	p.lastAnswer, p.answeredAt = a, p.l.now()
 	if status == http.StatusConflict {
-		return unknown
+		return staleStamp
 	}
-	return good
+	return delivered
 }
 
-func (p *peer) misfit(a answer) Cause {
+func (p *peer) mismatch(a answer) Cause {
 	switch {
 	case a.Fleet != p.l.hello.Fleet:
 		return OtherFleet
 	case a.Name != p.Name:
-		return Misled
+		return WrongPeer
 	case a.Version < 1:
 		return OldVersion
 	}
--- a/internal/links/queue.go
+++ b/internal/links/queue.go
@@ -5,87 +5,87 @@
 	"sync"
 )
 
-type slot struct {
+type slotKey struct {
 	kind Kind
 	name string
 }
 
-type waiting struct {
+type queuedFrame struct {
 	Frame
-	at int64 // µs, when it was handed to Send
+	queuedAt int64 // µs, when it was passed to Send
 }
 
-// queue holds what waits for one peer: one frame a slot, in the order in which the slots came. It is emptied by posts, by
-// newer frames, by its bounds and by waitMost.
+// queue holds the frames queued for one peer: one per slot, in the order in which the slots were added. Frames leave it
+// by being posted, replaced by newer ones, dropped at its limits or expired after maxQueueAge.
 type queue struct {
-	mu    sync.Mutex // a leaf
-	order list.List  // of waiting, the oldest slot in front
-	slots map[slot]*list.Element
-	bytes int
-	wake  chan struct{} // holds one token while there may be something to send
-	tally *tally
+	mu       sync.Mutex // no other mutex is locked under it
+	order    list.List  // of queuedFrame, oldest slot first
+	slots    map[slotKey]*list.Element
+	bytes    int
+	wake     chan struct{} // holds a token while there may be something to send
+	counters *counters
 }
 
-func newQueue(t *tally) *queue {
-	return &queue{slots: map[slot]*list.Element{}, wake: make(chan struct{}, 1), tally: t}
+func newQueue(t *counters) *queue {
+	return &queue{slots: map[slotKey]*list.Element{}, wake: make(chan struct{}, 1), counters: t}
 }
 
-func (q *queue) put(f Frame, at int64) {
+func (q *queue) enqueue(f Frame, at int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if e, ok := q.slots[slot{f.Kind, f.Slot}]; ok {
-		old := e.Value.(waiting)
-		e.Value = waiting{f, at}
+	if e, ok := q.slots[slotKey{f.Kind, f.Slot}]; ok {
+		old := e.Value.(queuedFrame)
+		e.Value = queuedFrame{f, at}
 		q.bytes += f.size() - old.size()
-		q.tally.replaced.Add(1)
+		q.counters.replaced.Add(1)
 	} else {
-		q.slots[slot{f.Kind, f.Slot}] = q.order.PushBack(waiting{f, at})
+		q.slots[slotKey{f.Kind, f.Slot}] = q.order.PushBack(queuedFrame{f, at})
 		q.bytes += f.size()
 	}
-	for q.order.Len() > queueFrames || q.bytes > queueBytes {
+	for q.order.Len() > maxQueueFrames || q.bytes > maxQueueBytes {
 		q.remove(q.order.Front())
-		q.tally.dropped.Add(1)
+		q.counters.dropped.Add(1)
 	}
-	q.ring()
+	q.signal()
 }
 
-// back returns frames that were not answered for, in front of the rest, unless a newer one has come.
-func (q *queue) back(frames []waiting) {
+// requeue puts unacknowledged frames back at the front, except where a newer one of the slot is queued.
+func (q *queue) requeue(frames []queuedFrame) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i := len(frames) - 1; i >= 0; i-- {
 		f := frames[i]
-		key := slot{f.Kind, f.Slot}
+		key := slotKey{f.Kind, f.Slot}
 		if q.slots[key] != nil {
-			q.tally.replaced.Add(1)
+			q.counters.replaced.Add(1)
 			continue
 		}
-		if q.order.Len() >= queueFrames || q.bytes+f.size() > queueBytes {
-			q.tally.dropped.Add(1)
+		if q.order.Len() >= maxQueueFrames || q.bytes+f.size() > maxQueueBytes {
+			q.counters.dropped.Add(1)
 			continue
 		}
 		q.slots[key] = q.order.PushFront(f)
 		q.bytes += f.size()
 	}
 	if q.order.Len() > 0 {
-		q.ring()
+		q.signal()
 	}
 }
 
-// take removes one batch; what has waited too long goes.
-func (q *queue) take(now int64) (batch []waiting) {
+// takeBatch removes and returns one batch, and drops expired frames.
+func (q *queue) takeBatch(now int64) (batch []queuedFrame) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	bytes := 0
 	for e := q.order.Front(); e != nil; e = q.order.Front() {
-		f := e.Value.(waiting)
-		if now-f.at > waitMost.Microseconds() {
-			q.tally.stale.Add(1)
+		f := e.Value.(queuedFrame)
+		if now-f.queuedAt > maxQueueAge.Microseconds() {
+			q.counters.stale.Add(1)
 			q.remove(e)
 			continue
 		}
-		if len(batch) > 0 && (len(batch) >= batchFrames || bytes+f.size() > batchBytes) {
-			q.ring()
+		if len(batch) > 0 && (len(batch) >= maxBatchFrames || bytes+f.size() > maxBatchBytes) {
+			q.signal()
 			break
 		}
 		bytes += f.size()
@@ -96,12 +96,12 @@
 }
 
 func (q *queue) remove(e *list.Element) {
-	f := q.order.Remove(e).(waiting)
-	delete(q.slots, slot{f.Kind, f.Slot})
+	f := q.order.Remove(e).(queuedFrame)
+	delete(q.slots, slotKey{f.Kind, f.Slot})
 	q.bytes -= f.size()
 }
 
-func (q *queue) ring() {
+func (q *queue) signal() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
