--- a/internal/purge/roster.go
+++ b/internal/purge/roster.go
@@ -6,50 +6,50 @@
 	"slices"
 )
 
-// place is a folder of a sender; folder 0 stands for a listed sender that was never heard of.
-type place struct {
+// folderKey identifies a folder of a sender; folder 0 stands for a listed sender that was never seen.
+type folderKey struct {
 	name   string
 	folder uint64
 }
 
-// roster is every folder that may hold data: of all listed and of all ever seen. Only an operator's word takes one out of account, and
-// only until it is seen again.
+// roster lists every folder that may hold data: those of all listed senders and all that were ever seen. Only an operator's declaration
+// excludes one, and only until it is seen again.
 type roster struct {
-	all  map[place]*Seen
-	full bool // one did not fit: nothing completes until the list is shortened
+	folders map[folderKey]*KnownFolder
+	full    bool // a folder did not fit: nothing completes until entries are removed
 }
 
-func (r *roster) list() (all []Seen) {
-	for _, at := range r.places() {
-		all = append(all, *r.all[at])
+func (r *roster) list() (folders []KnownFolder) {
+	for _, key := range r.keys() {
+		folders = append(folders, *r.folders[key])
 	}
-	return all
+	return folders
 }
 
-func (r *roster) places() []place {
-	return slices.SortedFunc(maps.Keys(r.all), func(a, b place) int { return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.folder, b.folder)) })
+func (r *roster) keys() []folderKey {
+	return slices.SortedFunc(maps.Keys(r.folders), func(a, b folderKey) int { return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.folder, b.folder)) })
 }
 
 func (r *roster) known(name string) bool {
-	for at := range r.all {
-		if at.name == name {
+	for key := range r.folders {
+		if key.name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// see takes in a folder that a view shows. It tells whether anything of it is new.
-func (r *roster) see(s Seen) bool {
-	at := place{s.Name, s.Folder}
-	old := r.all[at]
+// observe adds or updates a folder from a membership view. It reports whether anything changed.
+func (r *roster) observe(s KnownFolder) bool {
+	key := folderKey{s.Name, s.Folder}
+	old := r.folders[key]
 	switch {
 	case s.Folder == 0 && r.known(s.Name):
 		return false
 	case old == nil:
-		return r.admit(Seen{Name: s.Name, Folder: s.Folder, Incarnation: s.Incarnation})
-	case s.Folder != 0 && old.Destroyed != "": // it is back: the word was wrong
-		old.Destroyed, old.Returns, old.Incarnation = "", old.Returns+1, s.Incarnation
+		return r.add(KnownFolder{Name: s.Name, Folder: s.Folder, Incarnation: s.Incarnation})
+	case s.Folder != 0 && old.DestroyedBy != "": // the folder is back: the declaration was wrong
+		old.DestroyedBy, old.Returns, old.Incarnation = "", old.Returns+1, s.Incarnation
 		return true
 	case old.Incarnation != s.Incarnation:
 		old.Incarnation = s.Incarnation
@@ -58,72 +58,73 @@
 	return false
 }
 
-// admit puts a folder on the list, in the place of its sender's unknown one. It tells whether there was room.
-func (r *roster) admit(s Seen) bool {
-	if !r.room() {
+// add adds a folder, in place of its sender's placeholder. It returns false if the roster is full.
+func (r *roster) add(s KnownFolder) bool {
+	if !r.makeRoom() {
 		return false
 	}
 	if s.Folder != 0 {
-		delete(r.all, place{s.Name, 0})
+		delete(r.folders, folderKey{s.Name, 0})
 	}
-	r.all[place{s.Name, s.Folder}] = &s
+	r.folders[folderKey{s.Name, s.Folder}] = &s
 	return true
 }
 
-// hear takes in what another sender knows of folders. It tells whether anything of it is new.
-func (r *roster) hear(s Seen) bool {
-	at := place{s.Name, s.Folder}
-	old := r.all[at]
+// merge adds or updates a folder that a peer reported. It reports whether anything changed.
+func (r *roster) merge(s KnownFolder) bool {
+	key := folderKey{s.Name, s.Folder}
+	old := r.folders[key]
 	switch {
 	case old == nil && s.Folder == 0 && r.known(s.Name):
 		return false
 	case old == nil:
-		return r.admit(s)
+		return r.add(s)
 	case old.Returns < s.Returns:
-		old.Returns, old.Destroyed = s.Returns, s.Destroyed
+		old.Returns, old.DestroyedBy = s.Returns, s.DestroyedBy
 		old.Incarnation = max(old.Incarnation, s.Incarnation)
 		return true
-	case old.Returns == s.Returns && old.Destroyed == "" && s.Destroyed != "":
-		old.Destroyed = s.Destroyed
+	case old.Returns == s.Returns && old.DestroyedBy == "" && s.DestroyedBy != "":
+		old.DestroyedBy = s.DestroyedBy
 		return true
 	}
 	return false
 }
 
-// vacant tells whether all folders known of a sender are declared destroyed, and nothing is said of one that it may have begun since.
-func (r *roster) vacant(name string) bool {
-	if s := r.all[place{name, 0}]; s != nil {
-		return s.Destroyed == ""
+// allDestroyed reports whether all known folders of a sender are declared destroyed, but not one that it may have started since: that one is
+// declared by the placeholder, folder 0.
+func (r *roster) allDestroyed(name string) bool {
+	if s := r.folders[folderKey{name, 0}]; s != nil {
+		return s.DestroyedBy == ""
 	}
-	for at, s := range r.all {
-		if at.name == name && s.Destroyed == "" {
+	for key, s := range r.folders {
+		if key.name == name && s.DestroyedBy == "" {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *roster) destroy(name string, folder uint64, by string) bool {
-	s := r.all[place{name, folder}]
-	if s == nil && folder == 0 && r.known(name) && r.room() { // the sender is gone, with whatever it may have begun since it was heard
-		s = &Seen{Name: name}
-		r.all[place{name, 0}] = s
+func (r *roster) markDestroyed(name string, folder uint64, by string) bool {
+	s := r.folders[folderKey{name, folder}]
+	if s == nil && folder == 0 && r.known(name) && r.makeRoom() { // the sender is gone, along with any folder started since it was last seen
+		s = &KnownFolder{Name: name}
+		r.folders[folderKey{name, 0}] = s
 	}
-	if s == nil || s.Destroyed != "" || by == "" {
+	if s == nil || s.DestroyedBy != "" || by == "" {
 		return false
 	}
-	s.Destroyed = by
+	s.DestroyedBy = by
 	return true
 }
 
-// room makes some: what an operator declared destroyed goes first.
-func (r *roster) room() bool {
-	if len(r.all) < mostFolders {
+// makeRoom ensures that an entry can be added, evicting a folder that is declared destroyed if necessary.
+func (r *roster) makeRoom() bool {
+	if len(r.folders) < maxFolders {
 		return true
 	}
-	for _, at := range r.places() {
-		if r.all[at].Destroyed != "" {
-			delete(r.all, at)
+	for _, key := range r.keys() {
+		if r.folders[key].DestroyedBy != "" {
+			delete(r.folders, key)
 			return true
 		}
 	}
--- a/internal/ranked/ranked.go
+++ b/internal/ranked/ranked.go
@@ -1,5 +1,6 @@
-// Package ranked has locks with a rank: a goroutine may take one only above all those that it holds, so that no two goroutines
-// can wait for one another. Tests have the order watched; in service a lock costs one more read of a flag.
+// Package ranked provides mutexes with a rank. A goroutine may lock one only if its rank is above those of all ranked
+// mutexes that it holds, which rules out deadlocks between them. Tests enable the check of this order; otherwise a lock
+// costs one additional atomic read.
 package ranked
 
 import (
@@ -11,11 +12,11 @@
 	"sync/atomic"
 )
 
-// Rank says how far down a lock stands; a higher one is taken later.
+// Rank is the position of a mutex in the lock order; higher ranks are locked later.
 type Rank uint8
 
-// The ranks of the fleet's shared tables, in the order in which they are taken. Shards of one table share a rank: no two of them are
-// held at once.
+// The ranks of the fleet's shared tables, in lock order. Shards of one table share a rank: no two of them are held at
+// once.
 const (
 	Members Rank = iota + 1
 	Shares
@@ -34,50 +35,51 @@
 	return "rank " + strconv.Itoa(int(r))
 }
 
-// Mutex is a lock with a rank. It must be made by New.
+// Mutex is a mutex with a rank. It must be created by New.
 type Mutex struct {
 	mu   sync.Mutex
 	rank Rank
 	name string
 }
 
-// New makes a lock; the name is told where the order is broken.
+// New creates a mutex; the name appears in the panic on a violation of the lock order.
 func New(rank Rank, name string) *Mutex { return &Mutex{rank: rank, name: name} }
 
-// Lock takes it. Where the order is watched it panics if the goroutine holds a lock whose rank is not below.
+// Lock locks m. With checks enabled it panics if the goroutine holds a mutex whose rank is not lower.
 func (m *Mutex) Lock() {
-	if watched.Load() {
-		m.enter()
+	if enabled.Load() {
+		m.acquire()
 	}
 	m.mu.Lock()
 }
 
-// Unlock lets go of it, on the goroutine that took it.
+// Unlock unlocks m. It must run on the goroutine that locked it.
 func (m *Mutex) Unlock() {
 	m.mu.Unlock()
-	if watched.Load() {
-		m.leave()
+	if enabled.Load() {
+		m.release()
 	}
 }
 
 var (
-	watched atomic.Bool
+	enabled atomic.Bool
 	heldMu  sync.Mutex
-	held    = map[uint64][]*Mutex{} // by goroutine; emptied as locks are let go
+	held    = map[uint64][]*Mutex{} // by goroutine ID; an entry is deleted when its last mutex is unlocked
 )
 
-// Watch has the order checked from now on; it is for tests, before any lock is taken.
-func Watch() { watched.Store(true) }
+// EnableChecks turns on the check of the lock order. It is for tests and must run before any mutex is locked.
+func EnableChecks() { enabled.Store(true) }
 
-// Held counts the locks that this goroutine holds, as far as they are watched. It is for tests of what runs without any.
-func Held() int {
+// HeldCount returns how many mutexes this goroutine holds, as far as checks are enabled. It is for tests of code that
+// must run without any.
+func HeldCount() int {
 	heldMu.Lock()
 	defer heldMu.Unlock()
-	return len(held[goroutine()])
+	return len(held[goroutineID()])
 }
 
-func (m *Mutex) enter() {
-	g := goroutine()
+func (m *Mutex) acquire() {
+	g := goroutineID()
 	heldMu.Lock()
 	defer heldMu.Unlock()
 	for _, h := range held[g] {
@@ -88,8 +90,8 @@
 	held[g] = append(held[g], m)
 }
 
-func (m *Mutex) leave() {
-	g := goroutine()
+func (m *Mutex) release() {
+	g := goroutineID()
 	heldMu.Lock()
 	defer heldMu.Unlock()
 	for i, h := range held[g] {
@@ -103,8 +105,9 @@
 	panic(fmt.Sprintf("lock %s (%v) let go by a goroutine that does not hold it", m.name, m.rank))
 }
 
-// goroutine reads the number of the calling goroutine off its stack's first line, the only place that tells it.
-func goroutine() uint64 {
+// goroutineID parses the ID of the calling goroutine from the first line of its stack trace, the only place that shows
+// it.
+func goroutineID() uint64 {
 	var line [32]byte // "goroutine 18446744073709551615"
 	text := bytes.TrimPrefix(line[:runtime.Stack(line[:], false)], []byte("goroutine "))
 	number, _, _ := bytes.Cut(text, []byte(" "))
@@ -112,14 +115,15 @@
 	return g
 }
 
-// Free panics, where the order is watched, if the calling goroutine holds any lock: no lock is held over what is done next.
-func Free(what string) {
-	if !watched.Load() {
+// AssertNoneHeld panics, with checks enabled, if the calling goroutine holds a ranked mutex. The text names the
+// operation that must run without one.
+func AssertNoneHeld(what string) {
+	if !enabled.Load() {
 		return
 	}
 	heldMu.Lock()
 	defer heldMu.Unlock()
-	if held := held[goroutine()]; len(held) > 0 {
+	if held := held[goroutineID()]; len(held) > 0 {
 		panic(fmt.Sprintf("%s while lock %s (%v) is held", what, held[0].name, held[0].rank))
 	}
 }
--- a/internal/ranked/ranked_test.go
+++ b/internal/ranked/ranked_test.go
@@ -9,38 +9,38 @@
 )
 
 func TestMain(m *testing.M) {
-	Watch()
+	EnableChecks()
 	os.Exit(m.Run())
 }
 
-func TestAWrongOrderPanicsWithBothNames(t *testing.T) {
+func TestLockOrderViolationPanics(t *testing.T) {
 	low, high, twin := New(Members, "members"), New(Log, "log"), New(Log, "twin")
 	low.Lock()
 	high.Lock()
-	assert.Equal(t, 2, Held())
-	assert.PanicsWithValue(t, "lock twin (log) taken while log (log) is held", twin.Lock, "no two shards of one rank")
+	assert.Equal(t, 2, HeldCount())
+	assert.PanicsWithValue(t, "lock twin (log) taken while log (log) is held", twin.Lock, "two mutexes of one rank are never held at once")
 	high.Unlock()
 	low.Unlock()
 	high.Lock()
 	assert.PanicsWithValue(t, "lock members (members) taken while log (log) is held", low.Lock)
 	high.Unlock()
-	assert.Zero(t, Held())
+	assert.Zero(t, HeldCount())
 }
 
-func TestOtherGoroutinesLocksDoNotCount(t *testing.T) {
+func TestLocksOfOtherGoroutinesAreIgnored(t *testing.T) {
 	low, high := New(Members, "members"), New(Log, "log")
 	high.Lock()
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		low.Lock()
 		low.Unlock()
-		assert.PanicsWithValue(t, "lock log (log) let go by a goroutine that does not hold it", func() { high.leave() })
+		assert.PanicsWithValue(t, "lock log (log) let go by a goroutine that does not hold it", func() { high.release() })
 	})
 	wg.Wait()
 	high.Unlock()
 }
 
-func TestALockShutsOthersOut(t *testing.T) {
+func TestMutexExcludes(t *testing.T) {
 	m, n := New(Shares, "shares"), 0
 	var wg sync.WaitGroup
 	for range 8 {
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -13,268 +13,269 @@
 	"ravenlink/internal/spool"
 )
 
-// Backlogged counts what the backlog did since the start.
-type Backlogged struct {
-	Spilled  atomic.Int64 // hand-ins written down to rest
-	Loaded   atomic.Int64 // messages that came back in their destination's turn
-	Due      atomic.Int64 // messages read because their time ended,
-	Rejected atomic.Int64 // of them, ended without going to the decisions
+// BacklogStats counts events of the backlog since the start.
+type BacklogStats struct {
+	Spilled  atomic.Int64 // hand-ins spilled to disk
+	Loaded   atomic.Int64 // messages loaded in the turn of their destination
+	Due      atomic.Int64 // messages read because they were about to expire
+	Rejected atomic.Int64 // of these, ended without being submitted to the decision module
 }
 
-// rest is the engine's part of the backlog: it asks the queues on each hand-in, and its loader brings back what rests.
-type rest struct {
-	e      *Engine
-	keyed  bool       // some traffic class keeps an order
-	untold func() int // ends that the platform does not know yet
+// backlogManager connects the engine to the backlog: it asks the queues on each hand-in, and its loader loads spilled messages.
+type backlogManager struct {
+	engine         *Engine
+	ordered        bool       // whether a traffic class is ordered
+	pendingNotices func() int // counts ends that the platform has not been notified of
 
-	mu      sync.Mutex // never held over I/O
-	queues  *backlog.Queues
-	claims  map[string]*claim // hand-ins whose clients have no answer yet: as many as clients; emptied by Carry
-	coming  map[string]bool   // ids of what is on its way back: as many as a step reads, and as a start holds back; emptied as it is taken up
-	keys    map[string]int    // its order keys
-	loading bool              // the loader has a batch under way,
-	reading bool              // and reads it: what comes is not known yet
-	lost    []string          // claims that it may come across, as many as it reads or clients have; emptied at the end of its batch
-	open    bool              // what is owed from before the start is taken up: turns may come,
+	mu              sync.Mutex // never held during I/O
+	queues          *backlog.Queues
+	claims          map[string]*claim // by id; hand-ins whose clients have no answer yet, at most one for each client; deleted by Deliver
+	loadingIDs      map[string]bool   // ids of loading messages, as many as a step reads and a start defers; deleted as they are submitted
+	loadingKeys     map[string]int    // their order keys
+	batchOpen       bool              // the loader has a batch open,
+	reading         bool              // and is reading it: its messages are not known yet
+	withdrawnClaims []string          // claims that the open batch may contain; as many as it reads or clients have; emptied when it is closed
+	recovered       bool              // pending messages from before the start have been resumed: turns may begin
 
-	resting atomic.Int64 // what rests, by the queues
-	looks   atomic.Int64 // µs; when the loader looks next though nothing wakes it
-	wake    chan struct{}
-	jobs    chan *job
-	opened  bool             // as the loader has seen. The loader's
-	back    []*spool.Message // behind others of their keys that are not read yet: owed from before the start, or after a failed read; emptied by the next step
-	pause   int64            // µs; nothing is read before, for the disk failed. The loader's
-	again   int64            // µs; how long that pause was, 0 for none. The loader's
-	said    bool             // that something rests. The loader's
+	size        atomic.Int64 // spilled messages, by the queues
+	nextWake    atomic.Int64 // µs; when the loader wakes next without a signal
+	wake        chan struct{}
+	endRequests chan *endRequest
+	loadEnabled bool             // recovered, as the loader has seen it; used by the loader only
+	deferred    []*spool.Message // wait for unread predecessors of their keys, after the start or a failed read; emptied by the next step
+	readAfter   int64            // µs; nothing is read before, after a disk failure; used by the loader only
+	readBackoff int64            // µs; the last delay, 0 for none; used by the loader only
+	logged      bool             // that messages are spilled; used by the loader only
 }
 
 // claim is a hand-in whose client has no answer yet.
 type claim struct {
-	rests    bool           // it was written down to rest
-	gone     bool           // its client never heard,
-	left     bool           // and whoever handed it in is done with it
-	ended    bool           // it came back, and has its end
-	returned *spool.Message // it came back, and is with the decisions
+	spilled   bool           // it was spilled
+	withdrawn bool           // its client was never answered,
+	abandoned bool           // and Deliver has been called for it
+	ended     bool           // it was loaded and has ended
+	loaded    *spool.Message // it was loaded and is with the decision module
 }
 
-// job is something to be ended wherever it rests.
-type job struct {
+// endRequest asks to end all matching spilled messages.
+type endRequest struct {
 	match func(*spool.Message) bool
 	done  chan struct{}
 }
 
 const (
-	mostUntold = 4096                  // ends that wait for the platform, beyond which no more are read to be ended: they are in memory
-	readFirst  = int64(10_000)         // µs until the disk is read again after a failure, doubled by each further one up to
-	readMost   = int64(1_000_000)      // this
-	glance     = 10 * time.Millisecond // between looks while the loader waits for the platform
+	maxPendingNotices = 4096                  // ends waiting for the platform, which are in memory; beyond this, no more messages are read to be ended
+	minReadBackoff    = int64(10_000)         // µs until the disk is read again after a failure, doubled with each further one up to maxReadBackoff
+	maxReadBackoff    = int64(1_000_000)      // µs
+	pollInterval      = 10 * time.Millisecond // between checks while the loader waits for the platform
 )
 
-// Rest has messages beyond what the decisions can work on rest on disk. It comes before any message. keyed: some traffic class keeps an order.
-// untold counts ends that the platform does not know yet.
-func (e *Engine) Rest(b backlog.Bounds, keyed bool, untold func() int) {
-	e.rest = &rest{e: e, keyed: keyed, untold: untold, queues: backlog.New(b), claims: map[string]*claim{}, coming: map[string]bool{},
-		keys: map[string]int{}, wake: make(chan struct{}, 1), jobs: make(chan *job, 1)}
-	if !keyed {
-		e.spool.Unkeyed()
+// EnableBacklog spills messages to disk that exceed what the decision module can process. It must be called before any message
+// is accepted. ordered reports whether a traffic class is ordered; pendingNotices counts ends that the platform has not been
+// notified of.
+func (e *Engine) EnableBacklog(b backlog.Limits, ordered bool, pendingNotices func() int) {
+	e.backlog = &backlogManager{engine: e, ordered: ordered, pendingNotices: pendingNotices, queues: backlog.New(b), claims: map[string]*claim{}, loadingIDs: map[string]bool{},
+		loadingKeys: map[string]int{}, wake: make(chan struct{}, 1), endRequests: make(chan *endRequest, 1)}
+	if !ordered {
+		e.spool.DisableKeyCounts()
 	}
 	now := e.Now()
-	for _, dst := range e.spool.SpilledTo() {
-		e.rest.queues.Found(now, dst, e.spool.Spilled(dst))
+	for _, dst := range e.spool.SpilledDestinations() {
+		e.backlog.queues.AddSpilled(now, dst, e.spool.SpilledCount(dst))
 	}
-	e.rest.counted()
+	e.backlog.updateSize()
 }
 
-// Resting counts what rests on disk.
-func (e *Engine) Resting() int64 {
-	if e.rest == nil {
+// BacklogSize counts the spilled messages.
+func (e *Engine) BacklogSize() int64 {
+	if e.backlog == nil {
 		return 0
 	}
-	return e.rest.resting.Load()
+	return e.backlog.size.Load()
 }
 
-// counted keeps the count for those who do not lock. It is called with the lock.
-func (r *rest) counted() { r.resting.Store(int64(r.queues.Resting())) }
+// updateSize publishes the count for readers without the lock. The lock is held.
+func (b *backlogManager) updateSize() { b.size.Store(int64(b.queues.Spilled())) }
 
-// change changes the queues.
-func (r *rest) change(f func(q *backlog.Queues, now int64)) {
-	now := r.e.Now()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	f(r.queues, now)
-	r.counted()
+// withQueues runs f on the queues under the lock.
+func (b *backlogManager) withQueues(f func(q *backlog.Queues, now int64)) {
+	now := b.engine.Now()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	f(b.queues, now)
+	b.updateSize()
 }
 
-func (r *rest) rouse() {
+func (b *backlogManager) wakeLoader() {
 	select {
-	case r.wake <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take is Take with a backlog.
-func (r *rest) take(m *spool.Message, lane int) (routing.Way, int64) {
-	e := r.e
-	if !r.claim(m.ID) {
-		return routing.Twice, 0
+// accept is Accept with a backlog.
+func (b *backlogManager) accept(m *spool.Message, class int) (routing.Disposition, int64) {
+	e := b.engine
+	if !b.claim(m.ID) {
+		return routing.Duplicate, 0
 	}
-	word := r.admit(m)
-	way, advice := routing.PushedBack, int64(0)
-	switch word {
-	case backlog.Work:
-		way, advice = e.hold(m, lane)
-		if way != routing.Held {
-			r.change(func(q *backlog.Queues, now int64) { q.Refused(now, m.Dst) })
+	decision := b.admit(m)
+	disposition, retryAfter := routing.Rejected, int64(0)
+	switch decision {
+	case backlog.Activate:
+		disposition, retryAfter = e.admit(m, class)
+		if disposition != routing.Held {
+			b.withQueues(func(q *backlog.Queues, now int64) { q.ActivationRefused(now, m.Dst) })
 		}
-	case backlog.Rest:
-		way, advice = r.spill(m)
+	case backlog.Spill:
+		disposition, retryAfter = b.spill(m)
 	default:
-		advice = e.router.ComeBackIn()
+		retryAfter = e.router.RetryAfter()
 	}
-	if way != routing.Held {
-		r.release(m.ID)
+	if disposition != routing.Held {
+		b.release(m.ID)
 	}
-	return way, advice
+	return disposition, retryAfter
 }
 
-// claim takes an id for a hand-in until its client is answered; no where another one has it, or it is on its way back. What rests or is
-// worked on is found by the spool and the decisions.
-func (r *rest) claim(id string) bool {
-	r.mu.Lock()
-	reading, free := r.reading, r.claims[id] == nil && !r.coming[id]
+// claim reserves an id for a hand-in until its client is answered. It fails if another hand-in has the id or a message with it
+// is loading. Duplicates of spilled and active messages are found by the spool and the decision module.
+func (b *backlogManager) claim(id string) bool {
+	b.mu.Lock()
+	reading, free := b.reading, b.claims[id] == nil && !b.loadingIDs[id]
 	if free {
-		r.claims[id] = &claim{}
+		b.claims[id] = &claim{}
 	}
-	r.mu.Unlock()
-	if free && reading && r.e.spool.Has(id) {
-		r.release(id)
+	b.mu.Unlock()
+	if free && reading && b.engine.spool.Has(id) {
+		b.release(id)
 		free = false
 	}
 	return free
 }
 
-func (r *rest) release(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.claims, id)
+func (b *backlogManager) release(id string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.claims, id)
 }
 
-// admit asks the queues. A destination that nothing is known of goes to the decisions, which refuse it, or is refused here.
-func (r *rest) admit(m *spool.Message) (word backlog.Word) {
-	keyRests, _ := r.key(m) // asked first: the loader may read it in between
+// admit asks the queues. An unknown destination goes to the decision module, which rejects it, or is rejected here.
+func (b *backlogManager) admit(m *spool.Message) (decision backlog.Decision) {
+	keySpilled, _ := b.keySpilled(m) // checked first: the loader may read it in between
 	known := false
-	r.change(func(q *backlog.Queues, now int64) {
-		known = q.Knows(m.Dst)
-		keyRests = keyRests || r.keyed && m.OrderKey != "" && (r.reading || r.keys[m.OrderKey] > 0)
-		if word = q.Admit(now, m.Dst, m.Expires, keyRests); word == backlog.Rest {
-			r.claims[m.ID].rests = true
+	b.withQueues(func(q *backlog.Queues, now int64) {
+		known = q.Has(m.Dst)
+		keySpilled = keySpilled || b.ordered && m.OrderKey != "" && (b.reading || b.loadingKeys[m.OrderKey] > 0)
+		if decision = q.Admit(now, m.Dst, m.Expires, keySpilled); decision == backlog.Spill {
+			b.claims[m.ID].spilled = true
 		}
 	})
-	if word == backlog.Rest && !known && !r.e.router.Lists(m.Dst) {
-		r.change(func(q *backlog.Queues, now int64) { q.Recorded(now, m.Dst, false) })
-		word = backlog.Refuse
+	if decision == backlog.Spill && !known && !b.engine.router.HasReceiver(m.Dst) {
+		b.withQueues(func(q *backlog.Queues, now int64) { q.Recorded(now, m.Dst, false) })
+		decision = backlog.Reject
 	}
-	return word
+	return decision
 }
 
-// key tells whether some message of the same order key rests, and whether one may rest at another destination.
-func (r *rest) key(m *spool.Message) (rests, elsewhere bool) {
-	if !r.keyed || m.OrderKey == "" || r.resting.Load() == 0 {
+// keySpilled reports whether a message of the same order key is spilled, and whether one may be spilled at another destination.
+func (b *backlogManager) keySpilled(m *spool.Message) (spilled, elsewhere bool) {
+	if !b.ordered || m.OrderKey == "" || b.size.Load() == 0 {
 		return false, false
 	}
-	return r.e.spool.SpilledKey(m.OrderKey, m.Dst)
+	return b.engine.spool.HasSpilledKey(m.OrderKey, m.Dst)
 }
 
-// spill writes a message down that rests. Without an error its end is owed.
-func (r *rest) spill(m *spool.Message) (routing.Way, int64) {
-	e := r.e
-	err := error(spool.ErrTwice)
-	if !e.Holds(m.ID) {
+// spill writes a message to disk. Without an error its end is due.
+func (b *backlogManager) spill(m *spool.Message) (routing.Disposition, int64) {
+	e := b.engine
+	err := error(spool.ErrDuplicate)
+	if !e.IsActive(m.ID) {
 		err = e.spool.Spill(m)
 	}
-	may := false
-	r.change(func(q *backlog.Queues, now int64) { may = q.Recorded(now, m.Dst, err == nil) })
+	mayLoad := false
+	b.withQueues(func(q *backlog.Queues, now int64) { mayLoad = q.Recorded(now, m.Dst, err == nil) })
 	if err != nil {
-		return e.refused(err)
+		return e.storeFailed(err)
 	}
-	e.Tally.Taken.Add(1)
-	e.Backlogged.Spilled.Add(1)
-	if may || m.Expires-backlog.Lead < r.looks.Load() {
-		r.rouse()
+	e.Stats.Accepted.Add(1)
+	e.BacklogStats.Spilled.Add(1)
+	if mayLoad || m.Expires-backlog.ExpiryLead < b.nextWake.Load() {
+		b.wakeLoader()
 	}
 	return routing.Held, 0
 }
 
-// carry is Carry: of a hand-in that rests nothing is carried before it comes back, and what came back before its client was answered is from now
-// on.
-func (r *rest) carry(m *spool.Message) {
-	r.mu.Lock()
-	c := r.claims[m.ID]
-	if c == nil { // owed from before the start
-		r.queues.Owed(r.e.Now(), m.Dst)
-		r.counted()
-		r.mu.Unlock()
-		r.e.carry(m)
+// deliver is Deliver with a backlog: a spilled hand-in is delivered after it was loaded, and one that was loaded before its
+// client was answered is delivered from now on.
+func (b *backlogManager) deliver(m *spool.Message) {
+	b.mu.Lock()
+	c := b.claims[m.ID]
+	if c == nil { // pending from before the start
+		b.queues.AddActive(b.engine.Now(), m.Dst)
+		b.updateSize()
+		b.mu.Unlock()
+		b.engine.deliver(m)
 		return
 	}
-	lost := c.rests && c.gone && c.returned == nil && !c.ended
-	if c.left = lost; !lost {
-		delete(r.claims, m.ID)
+	lost := c.spilled && c.withdrawn && c.loaded == nil && !c.ended
+	if c.abandoned = lost; !lost {
+		delete(b.claims, m.ID)
 	}
-	r.mu.Unlock()
+	b.mu.Unlock()
 	switch {
-	case !c.rests:
-		r.e.carry(m)
+	case !c.spilled:
+		b.engine.deliver(m)
 	case lost:
-		r.lose(m)
-	case c.returned != nil:
-		if c.gone {
-			r.e.router.Withdraw(m.ID)
+		b.dropWithdrawn(m)
+	case c.loaded != nil:
+		if c.withdrawn {
+			b.engine.router.Withdraw(m.ID)
 		}
-		r.e.carry(c.returned)
+		b.engine.deliver(c.loaded)
 	}
 }
 
-// lose puts on record that nothing is owed for a message that rests and whose client never heard. Its claim stays as long as the loader has
-// a batch under way, for it may be in it, and as long as it is held back.
-func (r *rest) lose(m *spool.Message) {
-	r.over(m)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.loading || r.coming[m.ID] {
-		r.lost = append(r.lost, m.ID)
+// dropWithdrawn records that nothing is due for a spilled message whose client was never answered. Its claim stays while the
+// loader has a batch open, which may contain it, and while the message is deferred.
+func (b *backlogManager) dropWithdrawn(m *spool.Message) {
+	b.complete(m)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.batchOpen || b.loadingIDs[m.ID] {
+		b.withdrawnClaims = append(b.withdrawnClaims, m.ID)
 	} else {
-		delete(r.claims, m.ID)
+		delete(b.claims, m.ID)
 	}
 }
 
-func (r *rest) over(m *spool.Message) {
-	if err := r.e.spool.Over(m); err != nil && !errors.Is(err, spool.ErrOver) {
-		r.e.log.Error("end not recorded", zap.String("id", m.ID), zap.Error(err))
+func (b *backlogManager) complete(m *spool.Message) {
+	if err := b.engine.spool.Complete(m); err != nil && !errors.Is(err, spool.ErrNotPending) {
+		b.engine.log.Error("end not recorded", zap.String("id", m.ID), zap.Error(err))
 	}
 }
 
-// withdraw is Withdraw, which Carry follows.
-func (r *rest) withdraw(id string) {
-	r.mu.Lock()
-	c := r.claims[id]
-	rests := c != nil && c.rests
-	if rests {
-		c.gone = true
+// withdraw is Withdraw with a backlog; Deliver follows.
+func (b *backlogManager) withdraw(id string) {
+	b.mu.Lock()
+	c := b.claims[id]
+	spilled := c != nil && c.spilled
+	if spilled {
+		c.withdrawn = true
 	}
-	r.mu.Unlock()
-	if !rests {
-		r.e.router.Withdraw(id)
+	b.mu.Unlock()
+	if !spilled {
+		b.engine.router.Withdraw(id)
 	}
 }
 
-// ended counts the end of a message that was worked on, and has the loader look who may come back.
-func (r *rest) ended(c *carried) {
-	r.e.mu.Lock()
+// ended counts the end of an active message, and has the loader check which messages may be loaded.
+func (b *backlogManager) ended(c *delivery) {
+	b.engine.mu.Lock()
 	delivered := c.delivered
-	r.e.mu.Unlock()
-	r.change(func(q *backlog.Queues, now int64) { q.Ended(now, c.msg.Dst, delivered) })
-	if r.resting.Load() > 0 {
-		r.rouse()
+	b.engine.mu.Unlock()
+	b.withQueues(func(q *backlog.Queues, now int64) { q.Ended(now, c.msg.Dst, delivered) })
+	if b.size.Load() > 0 {
+		b.wakeLoader()
 	}
 }
--- a/internal/relay/backlog_rig_test.go
+++ b/internal/relay/backlog_rig_test.go
@@ -16,7 +16,8 @@
 	"ravenlink/internal/spool"
 )
 
-// A room of 40 with one part in four for a destination: ten messages of each are worked on, and what comes beyond rests.
+// With a capacity of 40 and a quarter of it for a destination, ten messages of each destination are active and further ones are
+// spilled.
 const (
 	windowPerDestination = 10
 	roomOfForty          = `{"balancers":1,"machine_types":["m"],"zones":["z"],"classes":[{"name":"n","aim":2000,"deadline":60000,"group":"all",` +
@@ -26,38 +27,38 @@
 		`"rules":{"start_capacity":0.2,"warm_within":1000,"overload_factor":2}}`
 )
 
-// heldCarrier carries legs and notes their order. Each waits until it is let.
-type heldCarrier struct {
+// blockingTransport records the order of legs. Each leg waits until it is released.
+type blockingTransport struct {
 	mu   sync.Mutex
 	sent []string
 	let  chan struct{}
 }
 
-func (c *heldCarrier) Carry(ctx context.Context, l Leg) Journey {
-	if !l.Ready() || !l.Still() {
-		return Journey{Result: routing.NotSent}
+func (c *blockingTransport) Send(ctx context.Context, l Leg) Outcome {
+	if !l.Authorize() || !l.Confirm() {
+		return Outcome{Result: routing.NotSent}
 	}
 	c.mu.Lock()
 	c.sent = append(c.sent, l.Msg.ID)
 	c.mu.Unlock()
 	select {
 	case <-c.let:
-		return Journey{Result: routing.Delivered}
+		return Outcome{Result: routing.Delivered}
 	case <-ctx.Done():
-		return Journey{Result: routing.CalledOff}
+		return Outcome{Result: routing.Cancelled}
 	}
 }
 
-func (c *heldCarrier) ids() []string {
+func (c *blockingTransport) ids() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.sent...)
 }
 
-// backlogEngine is an engine with a backlog. Its loader runs where it is told to; else tests do its steps.
+// backlogEngine is an engine with a backlog. Tests start its loader or run single steps of it.
 type backlogEngine struct {
 	*Engine
-	carrier     *heldCarrier
+	carrier     *blockingTransport
 	t           *testing.T
 	dir         string
 	undelivered chan Undelivered
@@ -78,21 +79,21 @@
 	for _, dst := range []int64{7, 8} {
 		list = append(list, routing.Listing{ID: fmt.Sprint("s", dst), Addr: "h:1", Dst: dst, Kind: "m", Zone: "z", Listed: true})
 	}
-	router.List(list, true, true)
-	s := &backlogEngine{t: t, dir: dir, carrier: &heldCarrier{let: make(chan struct{}, 1000)}, undelivered: make(chan Undelivered, 1000)}
+	router.UpdateReceivers(list, true, true)
+	s := &backlogEngine{t: t, dir: dir, carrier: &blockingTransport{let: make(chan struct{}, 1000)}, undelivered: make(chan Undelivered, 1000)}
 	s.Engine = New(zap.NewNop(), clock, router, store, s.carrier)
-	s.Tell(s)
-	s.Rest(backlog.Bounds{Room: 40, Slots: 20, Span: 2e6, Most: 10_000}, true, func() int { return len(s.undelivered) })
-	picking, stopPicking := context.WithCancel(context.Background())
-	working, stopWorking := context.WithCancel(context.Background())
+	s.SetNotifier(s)
+	s.EnableBacklog(backlog.Limits{Capacity: 40, Slots: 20, Interval: 2e6, MaxSpilled: 10_000}, true, func() int { return len(s.undelivered) })
+	startCtx, cancelStart := context.WithCancel(context.Background())
+	runCtx, cancelRun := context.WithCancel(context.Background())
 	ticked := make(chan struct{})
-	go func() { router.Tick(working); close(ticked) }()
-	s.Begin(picking, working)
+	go func() { router.RunTimer(runCtx); close(ticked) }()
+	s.SetContexts(startCtx, runCtx)
 	var once sync.Once
 	s.halt = func() {
 		once.Do(func() {
-			stopPicking()
-			stopWorking()
+			cancelStart()
+			cancelRun()
 			s.Wait()
 			<-ticked
 			require.NoError(t, store.Close())
@@ -102,55 +103,56 @@
 	return s
 }
 
-// loaderByHand opens the loader without letting it run.
-func (s *backlogEngine) loaderByHand() *rest {
-	s.Recover(s.spool.Owed())
-	r := s.Engine.rest
-	require.True(s.t, r.mayOpen())
-	r.opened = true
-	r.bringBack()
+// loaderByHand enables the loader without starting it.
+func (s *backlogEngine) loaderByHand() *backlogManager {
+	s.Recover(s.spool.Pending())
+	r := s.Engine.backlog
+	require.True(s.t, r.isRecovered())
+	r.loadEnabled = true
+	r.resumeDeferred()
 	return r
 }
 
-func (s *backlogEngine) message(id string, dst int64, lane, key string) *spool.Message {
-	return &spool.Message{ID: id, Lane: lane, Key: id, OrderKey: key, Dst: dst, Expires: s.Now() + 60e6, Body: []byte("x")}
+func (s *backlogEngine) message(id string, dst int64, class, key string) *spool.Message {
+	return &spool.Message{ID: id, Class: class, Key: id, OrderKey: key, Dst: dst, Expires: s.Now() + 60e6, Body: []byte("x")}
 }
 
-func (s *backlogEngine) lane(m *spool.Message) int {
-	lane, known := s.Lane(m.Lane)
+func (s *backlogEngine) class(m *spool.Message) int {
+	class, known := s.Class(m.Class)
 	require.True(s.t, known)
-	return lane
+	return class
 }
 
-// handIn is what a front does with a client that hears its answer.
-func (s *backlogEngine) handIn(m *spool.Message) routing.Way {
-	way, _ := s.Take(m, s.lane(m))
-	if way == routing.Held {
-		s.Carry(m)
+// handIn does what a frontend does for a client that receives its answer.
+func (s *backlogEngine) handIn(m *spool.Message) routing.Disposition {
+	disposition, _ := s.Accept(m, s.class(m))
+	if disposition == routing.Held {
+		s.Deliver(m)
 	}
-	return way
+	return disposition
 }
 
-// handInMany hands in so many for a destination, and what is beyond its window rests.
+// handInMany hands in n messages for a destination; those beyond its window are spilled.
 func (s *backlogEngine) handInMany(dst int64, n int) {
 	for i := range n {
 		require.Equal(s.t, routing.Held, s.handIn(s.message(fmt.Sprintf("%d-%03d", dst, i), dst, "n", "")))
 	}
-	require.EqualValues(s.t, max(0, n-windowPerDestination), s.Resting())
+	require.EqualValues(s.t, max(0, n-windowPerDestination), s.BacklogSize())
 }
 
-// workedOn counts what the queues have worked on, with their lock: the engine's goroutine changes them as a message ends.
+// workedOn counts the active messages of the queues under their lock, because the engine's goroutine changes them as messages
+// end.
 func (s *backlogEngine) workedOn() (n int) {
-	s.Engine.rest.change(func(q *backlog.Queues, _ int64) { n = q.Working() })
+	s.Engine.backlog.withQueues(func(q *backlog.Queues, _ int64) { n = q.Active() })
 	return n
 }
 
 func (s *backlogEngine) eventually(f func() bool, what ...any) {
 	s.t.Helper()
-	require.Eventually(s.t, f, long, glimpse, what...)
+	require.Eventually(s.t, f, timeout, pollEvery, what...)
 }
 
-// holds are all ids that a folder owes, with what rests.
+// holds returns all pending ids of a folder, spilled ones included.
 func holds(t *testing.T, dir string) (ids map[string]bool) {
 	t.Helper()
 	next := t.TempDir()
@@ -158,14 +160,14 @@
 	store, _, err := spool.OpenBacklog(next, 1<<20)
 	require.NoError(t, err)
 	ids = map[string]bool{}
-	for _, m := range store.Owed() {
+	for _, m := range store.Pending() {
 		ids[m.ID] = true
 	}
-	for store.SpilledAll() > 0 {
+	for store.SpilledTotal() > 0 {
 		ms, err := store.LoadMatching(func(*spool.Message) bool { return true }, 100)
 		require.NoError(t, err)
 		for _, m := range ms {
-			require.False(t, ids[m.ID], "owed once: %s", m.ID)
+			require.False(t, ids[m.ID], "pending once: %s", m.ID)
 			ids[m.ID] = true
 		}
 	}
--- a/internal/relay/channels.go
+++ b/internal/relay/channels.go
@@ -9,75 +9,80 @@
 	"ravenlink/internal/spool"
 )
 
-// Channels takes in messages that name a channel, in the place of Take and Carry, and says when their turn has come.
+// Channels accepts messages that name a channel, in place of Accept and Deliver, and decides when their turn has come.
 type Channels interface {
-	// HandIn decides on a message. What it takes on is on record when it returns, and no leg of it starts before Then.
-	HandIn(m *spool.Message, lane int) Word
-	// Gone says that a connection that used a channel has ended.
-	Gone(channel string)
-	Turns
-}
-
-// Word answers a hand-in of a channel: OK, else an error with its cause, else the client is to come back.
-type Word struct {
-	OK    bool
-	Cause string
-	Wait  int64  // µs
-	Pos   int64  // last taken on; below 0 for not known here
-	Then  func() // to be called once the client has its answer or surely never will; may be nil
-}
-
-// Turns is what an engine asks about messages of channels, and tells of them.
-type Turns interface {
-	// MayBegin is asked right before a leg's first byte.
+	// HandIn decides on a message. An accepted message is recorded when HandIn returns, and no leg of it starts before
+	// OnAnswered.
+	HandIn(m *spool.Message, class int) HandInResult
+	// ConnectionClosed reports that a connection that used a channel was closed.
+	ConnectionClosed(channel string)
+	Sequencer
+}
+
+// HandInResult is the result of a hand-in to a channel: OK, else an error with its cause, else the client is to retry.
+type HandInResult struct {
+	OK         bool
+	Cause      string
+	RetryAfter int64  // µs
+	Pos        int64  // last accepted position; negative if not known here
+	OnAnswered func() // to be called once the client has received its answer or certainly never will; may be nil
+}
+
+// Sequencer decides when messages of channels may start, and is notified of their ends.
+type Sequencer interface {
+	// MayBegin is called right before the first byte of a leg.
 	MayBegin(m *spool.Message) bool
-	// Ended comes once for a message that Release set going, when it is over and no leg of it is out. MayRun: a leg may still
-	// run at its receiver.
+	// Ended is called once for a message that Resume started, when it is over and no leg of it is in flight. mayRun: a leg may
+	// still run at its receiver.
 	Ended(m *spool.Message, delivered, mayRun bool)
-	// Postponed comes in place of Ended for a message that MayBegin kept from beginning and that was not abandoned: its end is owed by whom
-	// it is told to, and Resume sets it going again. MayRun as with Ended.
+	// Postponed is called in place of Ended for a message that MayBegin kept from starting and that was not abandoned: its end
+	// stays with the sequencer, and Resume starts it again. mayRun as for Ended.
 	Postponed(m *spool.Message, mayRun bool)
 }
 
-// Order names who is asked about messages of channels, and the longest that a leg of one may be out. It comes before any message.
-func (e *Engine) Order(t Turns, most time.Duration) { e.turns, e.legMost = t, most }
+// SetSequencer sets the sequencer and the maximum timeout of a leg of a channel. It must be called before any message is
+// accepted.
+func (e *Engine) SetSequencer(t Sequencer, most time.Duration) {
+	e.sequencer, e.maxLegTimeout = t, most
+}
 
-// patience is that of a leg: a later owner of a channel waits no longer than for the longest one.
-func (e *Engine) patience(m *spool.Message, p routing.Pick) time.Duration {
-	if e.turns == nil || m.Channel == "" {
-		return p.Patience
+// legTimeout returns the timeout of a leg. For a channel it is bounded, because a later owner of the channel waits only that
+// long for outstanding legs.
+func (e *Engine) legTimeout(m *spool.Message, d routing.Decision) time.Duration {
+	if e.sequencer == nil || m.Channel == "" {
+		return d.Timeout
 	}
-	return min(p.Patience, e.legMost)
+	return min(d.Timeout, e.maxLegTimeout)
 }
 
-// Keep writes a message down whose turn has not come: its end is owed from then on. Nothing is sent before Resume.
-func (e *Engine) Keep(m *spool.Message) error {
-	if err := e.spool.Take(m); err != nil {
+// Store records a message whose turn has not come: its end is due from then on. Nothing is sent before Resume.
+func (e *Engine) Store(m *spool.Message) error {
+	if err := e.spool.Accept(m); err != nil {
 		return err
 	}
-	e.Tally.Taken.Add(1)
+	e.Stats.Accepted.Add(1)
 	return nil
 }
 
-// Holds tells whether a message is with the decisions.
-func (e *Engine) Holds(id string) bool {
+// IsActive reports whether a message is with the decision module.
+func (e *Engine) IsActive(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.held[id] != nil
+	return e.active[id] != nil
 }
 
-// GiveUp ends a message that was kept and not resumed: pushed back if no leg of it can have run, else failed.
-func (e *Engine) GiveUp(m *spool.Message, advice int64) {
-	e.tell(&carried{msg: m}, !mayHaveRun(m), advice)
+// AbandonStored ends a message that was stored and not resumed: rejected if no leg of it can have run, else failed.
+func (e *Engine) AbandonStored(m *spool.Message, retryAfter int64) {
+	e.endUndelivered(&delivery{msg: m}, !mayHaveRun(m), retryAfter)
 }
 
-// Abandon ends a message that is with the decisions, once no leg of it is out. If that leg delivers, it is delivered.
-func (e *Engine) Abandon(id string, advice int64) {
+// Abandon ends an active message once no leg of it is in flight. If that leg delivers, the message is delivered.
+func (e *Engine) Abandon(id string, retryAfter int64) {
 	e.mu.Lock()
-	c := e.held[id]
-	now := c != nil && c.out == 0
+	c := e.active[id]
+	now := c != nil && c.legsOut == 0
 	if c != nil {
-		c.given, c.advice = true, advice
+		c.abandoned, c.retryAfter = true, retryAfter
 	}
 	e.mu.Unlock()
 	if now {
@@ -94,110 +99,110 @@
 	return false
 }
 
-// over takes a message's end without a notice from the decisions: delivered, or given up. A leg may have been picked between a look that
-// saw none out and the giving up: what it comes to counts, and its end brings this about again.
-func (e *Engine) over(c *carried) {
+// finish ends a message that the decision module completed: it was delivered or abandoned. A leg may have been chosen between
+// the check that found none in flight and the abandoning: its outcome counts, and its end calls finish again.
+func (e *Engine) finish(c *delivery) {
 	e.mu.Lock()
-	given, advice := c.given && !c.delivered, c.advice
-	c.late = given && c.out > 0
-	late := c.late
+	abandoned, retryAfter := c.abandoned && !c.delivered, c.retryAfter
+	c.endDeferred = abandoned && c.legsOut > 0
+	endDeferred := c.endDeferred
 	e.mu.Unlock()
-	if late {
+	if endDeferred {
 		return
 	}
-	if given {
-		e.undelivered(c, !mayHaveRun(c.msg), advice)
+	if abandoned {
+		e.undelivered(c, !mayHaveRun(c.msg), retryAfter)
 		return
 	}
-	e.counts.ended(c.msg)
-	e.Over(c.msg)
-	if e.Delivered != nil {
-		e.Delivered(c.msg.ID)
+	e.endCounters.ended(c.msg)
+	e.Complete(c.msg)
+	if e.OnDelivered != nil {
+		e.OnDelivered(c.msg.ID)
 	}
-	e.endTurn(c, true)
+	e.notifySequencer(c, true)
 }
 
-// endTurn tells the channel of a message that it is over, now or after the leg that is out.
-func (e *Engine) endTurn(c *carried, delivered bool) {
-	if e.turns == nil || c.msg.Channel == "" {
+// notifySequencer reports the end of a message to its channel, now or after the leg in flight.
+func (e *Engine) notifySequencer(c *delivery, delivered bool) {
+	if e.sequencer == nil || c.msg.Channel == "" {
 		return
 	}
 	e.mu.Lock()
 	c.ended = true
-	out := c.out
+	legsOut := c.legsOut
 	e.mu.Unlock()
-	if out == 0 {
-		e.turns.Ended(c.msg, delivered, e.mayRun(c))
+	if legsOut == 0 {
+		e.sequencer.Ended(c.msg, delivered, e.mayStillRun(c))
 	}
 }
 
-// outcome notes what a leg came to, before the decisions hear of it.
-func (e *Engine) outcome(c *carried, res routing.Result) {
+// addResult records the result of a leg, before the decision module is told of it.
+func (e *Engine) addResult(c *delivery, res routing.Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c.delivered = c.delivered || res == routing.Delivered || res == routing.GoneThere
-	c.running = c.running || res > routing.Errored
+	c.delivered = c.delivered || res == routing.Delivered || res == routing.Gone
+	c.unresolved = c.unresolved || res > routing.Errored
 }
 
-// legOver counts a leg in, and ends what waited for it.
-func (e *Engine) legOver(c *carried) {
+// finishLeg counts a leg as ended, and ends what waited for it.
+func (e *Engine) finishLeg(c *delivery) {
 	e.mu.Lock()
-	c.out--
-	ended, late, given, goesBack, out := c.ended, c.late, c.given && !c.delivered, c.goesBack(), c.out
+	c.legsOut--
+	ended, endDeferred, abandoned, postponed, legsOut := c.ended, c.endDeferred, c.abandoned && !c.delivered, c.isPostponed(), c.legsOut
 	e.mu.Unlock()
 	switch {
-	case out > 0:
-	case late && goesBack:
+	case legsOut > 0:
+	case endDeferred && postponed:
 		e.postpone(c)
-	case late:
-		e.over(c)
-	case ended && e.turns != nil && c.msg.Channel != "":
-		e.turns.Ended(c.msg, c.delivered, e.mayRun(c))
-	case given:
+	case endDeferred:
+		e.finish(c)
+	case ended && e.sequencer != nil && c.msg.Channel != "":
+		e.sequencer.Ended(c.msg, c.delivered, e.mayStillRun(c))
+	case abandoned:
 		e.router.Withdraw(c.msg.ID)
 	}
 }
 
-// postpone hands a message back whose turn was lost before a leg began. Danger: kept with the decisions it would use up its
-// legs, one after another, and be pushed back with time left, though its sender has the channel again after a moment.
-func (e *Engine) postpone(c *carried) {
+// postpone returns a message to its channel whose turn was lost before a leg started. Left with the decision module, it would
+// use up its legs one after another and be rejected with time left, although its sender regains the channel after a moment.
+func (e *Engine) postpone(c *delivery) {
 	e.mu.Lock()
-	c.late = c.out > 0
-	late := c.late
+	c.endDeferred = c.legsOut > 0
+	endDeferred := c.endDeferred
 	e.mu.Unlock()
-	if late { // that leg's end brings this about again
+	if endDeferred { // the end of that leg calls postpone again
 		return
 	}
-	e.router.EndKnown(c.msg.ID)
-	e.turns.Postponed(c.msg, e.mayRun(c))
+	e.router.EndReported(c.msg.ID)
+	e.sequencer.Postponed(c.msg, e.mayStillRun(c))
 }
 
-// mayRun tells whether a leg may still run at its receiver: one that had no outcome, here or before a restart.
-func (e *Engine) mayRun(c *carried) bool {
+// mayStillRun reports whether a leg may still run at its receiver: one without an outcome, in this process or before a restart.
+func (e *Engine) mayStillRun(c *delivery) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return c.running
+	return c.unresolved
 }
 
-// goesBack tells whether a message is its channel's again once no leg of it is out. The engine's lock is held.
-func (c *carried) goesBack() bool { return c.postponed && !c.given && !c.delivered }
+// isPostponed reports whether a message goes back to its channel once no leg of it is in flight. The lock of the engine is held.
+func (c *delivery) isPostponed() bool { return c.postponed && !c.abandoned && !c.delivered }
 
-func (e *Engine) isPostponed(c *carried) bool {
+func (e *Engine) legPostponed(c *delivery) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return c.goesBack()
+	return c.isPostponed()
 }
 
-// begins is asked right before a leg's first byte. What was given up does not begin.
-func (e *Engine) begins(c *carried) bool {
+// mayBegin is called right before the first byte of a leg. A leg of an abandoned message does not start.
+func (e *Engine) mayBegin(c *delivery) bool {
 	e.mu.Lock()
-	given := c.given
+	abandoned := c.abandoned
 	e.mu.Unlock()
 	m := c.msg
-	if given {
+	if abandoned {
 		return false
 	}
-	if e.turns == nil || m.Channel == "" || e.turns.MayBegin(m) {
+	if e.sequencer == nil || m.Channel == "" || e.sequencer.MayBegin(m) {
 		return true
 	}
 	e.log.Debug("not its turn", zap.String("id", m.ID), zap.String("channel", m.Channel))
--- a/internal/relay/channels_test.go
+++ b/internal/relay/channels_test.go
@@ -18,23 +18,23 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	long    = 10 * time.Second // a limit that no good run reaches
-	glimpse = time.Millisecond
-	slots   = 20 // as in the settings
+	timeout   = 10 * time.Second // a passing run stays far below
+	pollEvery = time.Millisecond
+	slots     = 20 // as in the settings
 )
 
 const settings = `{"balancers":1,"machine_types":["m"],"zones":["z"],"classes":[{"name":"n","aim":2000,"deadline":8000,"group":"all",` +
 	`"importance":1,"late_worth":0.5,"repeat":"by_key","window":15000}],"family_info":{"max_calls":20},"limits":{"most_held":40,"send_cap":6},` +
 	`"rules":{"start_capacity":0.2,"warm_within":1000,"overload_factor":2}}`
 
-// turns is a channel: messages in it may begin while open, and it hears of ends.
-type turns struct {
-	open  chan bool
-	ended chan [2]bool // delivered, may run
-	back  chan bool    // postponed: may run
+// fakeSequencer is a channel: messages may start while it is open, and it records ends.
+type fakeSequencer struct {
+	open      chan bool
+	ended     chan [2]bool // delivered, may run
+	postponed chan bool    // postponed: may run
 }
 
-func (x *turns) MayBegin(*spool.Message) bool {
+func (x *fakeSequencer) MayBegin(*spool.Message) bool {
 	select {
 	case may := <-x.open:
 		return may
@@ -43,44 +43,44 @@
 	}
 }
 
-func (x *turns) Ended(_ *spool.Message, delivered, mayRun bool) {
+func (x *fakeSequencer) Ended(_ *spool.Message, delivered, mayRun bool) {
 	x.ended <- [2]bool{delivered, mayRun}
 }
 
-// road carries legs: it says when one is out, and how it goes is told to it.
-type road struct {
-	gone chan *spool.Message
-	how  chan routing.Result
-	halt time.Duration // for which the process stands between what is asked first and what is asked last; 0 to ask nothing last
-	news func()        // what comes between the two
+// fakeTransport reports when a leg is in flight; the test supplies the result.
+type fakeTransport struct {
+	sent          chan *spool.Message
+	results       chan routing.Result
+	pause         time.Duration // pause of the process between Authorize and Confirm; 0 to skip Confirm
+	beforeConfirm func()        // runs between the two
 }
 
-func (r *road) Carry(_ context.Context, l Leg) Journey {
-	if !l.Ready() {
-		return Journey{Result: routing.NotSent}
+func (r *fakeTransport) Send(_ context.Context, l Leg) Outcome {
+	if !l.Authorize() {
+		return Outcome{Result: routing.NotSent}
 	}
-	if r.news != nil {
-		r.news()
+	if r.beforeConfirm != nil {
+		r.beforeConfirm()
 	}
-	if time.Sleep(r.halt); (r.halt > 0 || r.news != nil) && !l.Still() {
-		return Journey{Result: routing.NotSent}
+	if time.Sleep(r.pause); (r.pause > 0 || r.beforeConfirm != nil) && !l.Confirm() {
+		return Outcome{Result: routing.NotSent}
 	}
-	r.gone <- l.Msg
-	return Journey{Result: <-r.how}
+	r.sent <- l.Msg
+	return Outcome{Result: <-r.results}
 }
 
-func (x *turns) Postponed(_ *spool.Message, mayRun bool) { x.back <- mayRun }
+func (x *fakeSequencer) Postponed(_ *spool.Message, mayRun bool) { x.postponed <- mayRun }
 
-type ends chan Undelivered
+type fakeNotifier chan Undelivered
 
-func (e ends) Undelivered(u Undelivered) { e <- u }
+func (e fakeNotifier) Undelivered(u Undelivered) { e <- u }
 
 type rig struct {
 	*Engine
-	*turns
-	*road
-	ends
-	stopPicking, stopWorking func()
+	*fakeSequencer
+	*fakeTransport
+	fakeNotifier
+	cancelStart, cancelRun func()
 }
 
 func begin(t *testing.T) *rig {
@@ -89,27 +89,27 @@
 	return r
 }
 
-// prepare makes an engine that does not run yet.
+// prepare creates an engine that does not run yet.
 func prepare(t *testing.T) *rig {
 	s, _, err := spool.Open(t.TempDir(), 1<<20)
 	require.NoError(t, err)
-	r := &rig{turns: &turns{make(chan bool, 9), make(chan [2]bool, 9), make(chan bool, 9)}, road: &road{make(chan *spool.Message, 9), make(chan routing.Result, 9), 0, nil}, ends: make(ends, 9)}
+	r := &rig{fakeSequencer: &fakeSequencer{make(chan bool, 9), make(chan [2]bool, 9), make(chan bool, 9)}, fakeTransport: &fakeTransport{make(chan *spool.Message, 9), make(chan routing.Result, 9), 0, nil}, fakeNotifier: make(fakeNotifier, 9)}
 	clock := NewClock()
 	router := routing.New(1, gjson.Parse(settings), clock.Now, func(string) {}, func(string) {})
-	router.List([]routing.Listing{{ID: "s", Addr: "h:1", Dst: 7, Kind: "m", Zone: "z", Listed: true}}, true, true)
-	r.Engine = New(zap.NewNop(), clock, router, s, r.road)
-	r.Tell(r.ends)
-	r.Order(r.turns, time.Second)
-	picking, stopPicking := context.WithCancel(context.Background())
-	working, stopWorking := context.WithCancel(context.Background())
-	r.stopPicking, r.stopWorking = stopPicking, stopWorking
+	router.UpdateReceivers([]routing.Listing{{ID: "s", Addr: "h:1", Dst: 7, Kind: "m", Zone: "z", Listed: true}}, true, true)
+	r.Engine = New(zap.NewNop(), clock, router, s, r.fakeTransport)
+	r.SetNotifier(r.fakeNotifier)
+	r.SetSequencer(r.fakeSequencer, time.Second)
+	startCtx, cancelStart := context.WithCancel(context.Background())
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	r.cancelStart, r.cancelRun = cancelStart, cancelRun
 	ticked := make(chan struct{})
-	go func() { router.Tick(working); close(ticked) }()
-	r.Begin(picking, working)
+	go func() { router.RunTimer(runCtx); close(ticked) }()
+	r.SetContexts(startCtx, runCtx)
 	t.Cleanup(func() {
-		stopPicking()
-		stopWorking()
-		close(r.how)
+		cancelStart()
+		cancelRun()
+		close(r.results)
 		close(r.open)
 		r.Wait()
 		<-ticked
@@ -119,195 +119,199 @@
 }
 
 func (r *rig) message(id string) *spool.Message {
-	return &spool.Message{ID: id, Lane: "n", Key: id, Dst: 7, Expires: r.Now() + 8e6, Channel: "x", Pos: 1}
+	return &spool.Message{ID: id, Class: "n", Key: id, Dst: 7, Expires: r.Now() + 8e6, Channel: "x", Pos: 1}
 }
 
-func TestALegAsksForItsTurn(t *testing.T) {
+func TestLegAsksForItsTurn(t *testing.T) {
 	r := begin(t)
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
-	require.False(t, r.Holds("a"), "it is on disk, and not with the decisions")
+	require.NoError(t, r.Store(m))
+	require.False(t, r.IsActive("a"), "it is on disk and not with the decision module")
 	r.open <- true
 	r.Resume(m)
-	require.Same(t, m, <-r.gone)
-	require.True(t, r.Holds("a"))
+	require.Same(t, m, <-r.sent)
+	require.True(t, r.IsActive("a"))
 	require.Empty(t, r.ended)
-	r.how <- routing.Delivered
+	r.results <- routing.Delivered
 	require.Equal(t, [2]bool{true, false}, <-r.ended)
-	require.Empty(t, r.ends)
+	require.Empty(t, r.fakeNotifier)
 }
 
-func TestGivenUpWithALegOut(t *testing.T) {
+func TestAbandonedWithALegInFlight(t *testing.T) {
 	for how, want := range map[routing.Result][2]bool{routing.Delivered: {true, false}, routing.TimedOut: {false, true}, routing.Errored: {false, false}} {
 		r := begin(t)
 		m := r.message("a")
-		require.NoError(t, r.Keep(m))
+		require.NoError(t, r.Store(m))
 		r.open <- true
 		r.Resume(m)
-		<-r.gone
+		<-r.sent
 		r.Abandon("a", 5)
-		require.Empty(t, r.ended, "its leg is out")
-		r.how <- how
+		require.Empty(t, r.ended, "its leg is in flight")
+		r.results <- how
 		require.Equal(t, want, <-r.ended, how)
 		if how != routing.Delivered {
-			require.False(t, (<-r.ends).PushedBack, "it may have run")
+			require.False(t, (<-r.fakeNotifier).Rejected, "it may have run")
 		}
-		require.Empty(t, r.ends)
+		require.Empty(t, r.fakeNotifier)
 	}
 }
 
-func TestGivenUpBeforeItsTurn(t *testing.T) {
+func TestAbandonedBeforeItsTurn(t *testing.T) {
 	r := begin(t)
 	kept, resumed := r.message("a"), r.message("b")
-	require.NoError(t, r.Keep(kept))
-	r.GiveUp(kept, 5)
-	u := <-r.ends
-	require.True(t, u.PushedBack)
-	require.Equal(t, int64(5), u.Advice)
+	require.NoError(t, r.Store(kept))
+	r.AbandonStored(kept, 5)
+	u := <-r.fakeNotifier
+	require.True(t, u.Rejected)
+	require.Equal(t, int64(5), u.RetryAfter)
 	require.Empty(t, r.ended, "its channel knows already")
 	r = prepare(t)
-	require.NoError(t, r.Keep(resumed))
+	require.NoError(t, r.Store(resumed))
 	r.Resume(resumed)
 	r.Abandon("b", 7)
 	r.Run()
-	require.True(t, (<-r.ends).PushedBack)
+	require.True(t, (<-r.fakeNotifier).Rejected)
 	require.Equal(t, [2]bool{false, false}, <-r.ended)
-	require.Empty(t, r.back)
+	require.Empty(t, r.postponed)
 }
 
-// Guards against a message that is pushed back within milliseconds of its hand-in, for its legs were used up while its sender had lost its turn
-// for a moment. With one leg left the decisions end it as that one does not go: it goes back as well.
-func TestAMessageWhoseTurnIsLostGoesBackAndLosesNoLeg(t *testing.T) {
+// Guards against a message being rejected within milliseconds of its hand-in because its legs were used up while its sender had
+// lost the turn for a moment. With one leg left, the decision module ends the message when that leg does not start: it goes back
+// to its channel as well.
+func TestPostponedMessageLosesNoLeg(t *testing.T) {
 	for _, had := range []int{0, 5} {
 		r := begin(t)
 		m := r.message("a")
-		require.NoError(t, r.Keep(m))
+		require.NoError(t, r.Store(m))
 		for range had {
-			require.NoError(t, r.spool.Leg(m, spool.Leg{SentAt: r.Now() - 1e6, NeverRan: true}))
+			require.NoError(t, r.spool.AddLeg(m, spool.Leg{SentAt: r.Now() - 1e6, NeverRan: true}))
 		}
 		for range 20 {
 			r.Resume(m)
-			require.False(t, <-r.back, "it never ran")
-			require.False(t, r.Holds("a"))
+			require.False(t, <-r.postponed, "it never ran")
+			require.False(t, r.IsActive("a"))
 			require.Len(t, r.spool.Legs(m), had)
 		}
-		require.Eventually(t, func() bool { return r.Owed() == 0 }, long, glimpse, "an end is carried out once its channel has heard of it")
-		require.Empty(t, r.ends)
+		require.Eventually(t, func() bool { return r.Pending() == 0 }, timeout, pollEvery, "an end is processed once its channel has been notified")
+		require.Empty(t, r.fakeNotifier)
 		require.Empty(t, r.ended)
 		r.open <- true
 		r.Resume(m)
-		require.Same(t, m, <-r.gone)
-		r.how <- routing.Delivered
+		require.Same(t, m, <-r.sent)
+		r.results <- routing.Delivered
 		require.Equal(t, [2]bool{true, false}, <-r.ended)
-		require.Empty(t, r.ends)
+		require.Empty(t, r.fakeNotifier)
 	}
 }
 
-// resumed has an engine that does not run yet carry message a.
-func resumed(t *testing.T) (*rig, *carried) {
+// resumed returns an engine that does not run yet and has resumed message a.
+func resumed(t *testing.T) (*rig, *delivery) {
 	r := prepare(t)
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
-	return r, r.held["a"]
+	return r, r.active["a"]
 }
 
-// A message goes back once its decisions and the leg that did not begin are over with it, in whichever order they are.
-func TestGoingBackWaitsForTheLeg(t *testing.T) {
+// A message goes back to its channel once the decision module and the leg that did not start are done with it, in either order.
+func TestPostponingWaitsForTheLeg(t *testing.T) {
 	r, c := resumed(t)
-	c.out, c.postponed = 1, true
-	r.carryOut(routing.Pick{Way: routing.PushedBack, ID: "a"})
-	require.Empty(t, r.back, "its leg is out")
-	r.legOver(c)
-	require.False(t, <-r.back)
-	require.Empty(t, r.ends)
+	c.legsOut, c.postponed = 1, true
+	r.apply(routing.Decision{Disposition: routing.Rejected, ID: "a"})
+	require.Empty(t, r.postponed, "its leg is in flight")
+	r.finishLeg(c)
+	require.False(t, <-r.postponed)
+	require.Empty(t, r.fakeNotifier)
 	require.Empty(t, r.ended)
 }
 
-// What was delivered by one leg does not go back for another that lost its turn.
-func TestWhatWasDeliveredDoesNotGoBack(t *testing.T) {
+// A message delivered by one leg does not go back because of another leg that lost its turn.
+func TestDeliveredMessageIsNotPostponed(t *testing.T) {
 	r, c := resumed(t)
 	c.postponed, c.delivered = true, true
-	r.carryOut(routing.Pick{Way: routing.Over, ID: "a"})
+	r.apply(routing.Decision{Disposition: routing.Completed, ID: "a"})
 	require.Equal(t, [2]bool{true, false}, <-r.ended)
-	require.Empty(t, r.back)
+	require.Empty(t, r.postponed)
 }
 
-// A leg is picked after the look that saw none out, and the message is given up before it is over: its one end waits for that leg.
-func TestGivenUpAsALegIsPicked(t *testing.T) {
+// A leg is chosen after the check that saw none in flight, and the message is abandoned before it is over: its only end waits
+// for that leg.
+func TestAbandonedWhileALegIsChosen(t *testing.T) {
 	for how, want := range map[routing.Result][2]bool{routing.Delivered: {true, false}, routing.TimedOut: {false, true}} {
 		r := prepare(t)
 		m := r.message("a")
-		require.NoError(t, r.Keep(m))
+		require.NoError(t, r.Store(m))
 		r.Resume(m)
 		r.open <- true
-		p, err := r.router.Pick(r.picking)
+		p, err := r.router.NextDecision(r.startCtx)
 		require.NoError(t, err)
-		r.carryOut(p)
-		<-r.gone
-		c := r.held["a"]
+		r.apply(p)
+		<-r.sent
+		c := r.active["a"]
 		r.mu.Lock()
-		c.given = true // as by an Abandon that looked before
+		c.abandoned = true // as by an Abandon that checked before
 		r.mu.Unlock()
 		r.router.Withdraw("a")
-		p, err = r.router.Pick(r.picking)
+		p, err = r.router.NextDecision(r.startCtx)
 		require.NoError(t, err)
-		r.carryOut(p)
-		require.Empty(t, r.ends, "its leg is out")
+		r.apply(p)
+		require.Empty(t, r.fakeNotifier, "its leg is in flight")
 		require.Empty(t, r.ended)
-		r.how <- how
+		r.results <- how
 		require.Equal(t, want, <-r.ended)
 		if how != routing.Delivered {
-			require.False(t, (<-r.ends).PushedBack, "it may have run")
+			require.False(t, (<-r.fakeNotifier).Rejected, "it may have run")
 		}
-		require.Empty(t, r.ends)
+		require.Empty(t, r.fakeNotifier)
 		r.Run()
 	}
 }
 
-// The decisions may go on with a message that was given up, until they hear of it: no leg begins, and how it ends goes by the giving up.
-func TestDecisionsOnWhatWasGivenUp(t *testing.T) {
+// The decision module may continue with an abandoned message until it is told: no leg starts, and the abandoning determines how
+// the message ends.
+func TestDecisionsOnAnAbandonedMessage(t *testing.T) {
 	r := prepare(t)
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
-	require.NoError(t, r.spool.Leg(m, spool.Leg{SentAt: r.Now()}))
-	r.held["a"].given = true
+	require.NoError(t, r.spool.AddLeg(m, spool.Leg{SentAt: r.Now()}))
+	r.active["a"].abandoned = true
 	r.open <- true
-	r.carryOut(routing.Pick{Way: routing.Leg, ID: "a"})
-	require.Zero(t, r.Out())
-	require.Zero(t, r.held["a"].out)
-	r.carryOut(routing.Pick{Way: routing.PushedBack, ID: "a"})
-	require.False(t, (<-r.ends).PushedBack, "it may have run")
+	r.apply(routing.Decision{Disposition: routing.Leg, ID: "a"})
+	require.Zero(t, r.LegsInFlight())
+	require.Zero(t, r.active["a"].legsOut)
+	r.apply(routing.Decision{Disposition: routing.Rejected, ID: "a"})
+	require.False(t, (<-r.fakeNotifier).Rejected, "it may have run")
 	require.Equal(t, [2]bool{false, false}, <-r.ended)
 }
 
-func TestWhatWasGivenUpDoesNotBegin(t *testing.T) {
+func TestAbandonedMessageDoesNotBegin(t *testing.T) {
 	r := prepare(t)
 	r.open <- true
-	require.False(t, r.begins(&carried{msg: r.message("a"), given: true}))
-	require.True(t, r.begins(&carried{msg: r.message("a")}))
+	require.False(t, r.mayBegin(&delivery{msg: r.message("a"), abandoned: true}))
+	require.True(t, r.mayBegin(&delivery{msg: r.message("a")}))
 }
 
-// Guards against a sender without slots: each message that was given up between the picking of its leg and the leg kept one for good.
-func TestWhatIsGivenUpAsItsLegIsPickedKeepsNoSlot(t *testing.T) {
+// Guards against losing call slots: each message abandoned between the choice of its leg and the start of that leg kept a slot
+// for good.
+func TestAbandoningAChosenLegFreesItsSlot(t *testing.T) {
 	r := prepare(t)
 	for i := range 2 * slots {
 		m := r.message(strconv.Itoa(i))
-		require.NoError(t, r.Keep(m))
+		require.NoError(t, r.Store(m))
 		r.Resume(m)
-		p, err := r.router.Pick(r.picking)
+		p, err := r.router.NextDecision(r.startCtx)
 		require.NoError(t, err)
-		require.Equal(t, routing.Leg, p.Way, "message %d has no slot", i)
+		require.Equal(t, routing.Leg, p.Disposition, "message %d has no slot", i)
 		r.mu.Lock()
-		r.held[m.ID].given = true // as by an Abandon that comes as the leg is picked
+		r.active[m.ID].abandoned = true // as by an Abandon that comes while the leg is chosen
 		r.mu.Unlock()
-		r.carryOut(p)
+		r.apply(p)
 		r.router.Withdraw(m.ID)
-		p, err = r.router.Pick(r.picking)
+		p, err = r.router.NextDecision(r.startCtx)
 		require.NoError(t, err)
-		r.carryOut(p)
-		require.True(t, (<-r.ends).PushedBack)
+		r.apply(p)
+		require.True(t, (<-r.fakeNotifier).Rejected)
 		require.Equal(t, [2]bool{false, false}, <-r.ended)
 	}
 }
--- a/internal/relay/drain_test.go
+++ b/internal/relay/drain_test.go
@@ -11,200 +11,201 @@
 	"ravenlink/internal/routing"
 )
 
-// counted notes how many legs are counted as one begins.
-type counted struct {
+// legCountObserver records the number of legs in flight when a leg starts.
+type legCountObserver struct {
 	*Engine
 	out chan int64
 }
 
-func (c counted) Came(int64)       {}
-func (c counted) Began(int64)      { c.out <- c.Out() }
-func (c counted) Paused(int64)     {}
-func (c counted) TurnedAway(int64) {}
-func (c counted) Ended(int64)      {}
+func (c legCountObserver) MessageAccepted(int64) {}
+func (c legCountObserver) LegStarted(int64)      { c.out <- c.LegsInFlight() }
+func (c legCountObserver) LegEnded(int64)        {}
+func (c legCountObserver) LegRefused(int64)      {}
+func (c legCountObserver) MessageEnded(int64)    {}
 
-// The program ends once no leg is counted: one that begins must be before anybody can look.
-func TestALegCountsBeforeItBegins(t *testing.T) {
+// The program exits once no leg is counted, so a leg must be counted before anyone can check.
+func TestLegIsCountedBeforeItStarts(t *testing.T) {
 	r := prepare(t)
-	seen := counted{r.Engine, make(chan int64, 9)}
-	r.Watch = seen
+	seen := legCountObserver{r.Engine, make(chan int64, 9)}
+	r.Observer = seen
 	r.open <- true
-	r.how <- routing.Delivered
+	r.results <- routing.Delivered
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
 	r.Run()
 	require.EqualValues(t, 1, <-seen.out)
 	require.Equal(t, [2]bool{true, false}, <-r.ended)
 }
 
-func TestALegOutAsPickingEndsHasItsEndRecorded(t *testing.T) {
-	for _, late := range []bool{false, true} { // its end comes before that of working, or after
+func TestLegInFlightAsStartCtxEndsIsRecorded(t *testing.T) {
+	for _, late := range []bool{false, true} { // the leg ends before runCtx, or after it
 		r := begin(t)
 		m := r.message("a")
-		require.NoError(t, r.Keep(m))
+		require.NoError(t, r.Store(m))
 		r.open <- true
 		r.Resume(m)
-		<-r.gone
-		r.stopPicking()
+		<-r.sent
+		r.cancelStart()
 		if late {
-			r.stopWorking()
+			r.cancelRun()
 		}
-		r.how <- routing.Delivered
+		r.results <- routing.Delivered
 		require.Equal(t, [2]bool{true, false}, <-r.ended)
-		r.stopWorking()
+		r.cancelRun()
 		r.Wait()
-		require.Empty(t, r.spool.Owed(), "a restart would take it for one that may have run")
-		require.Zero(t, r.Out())
+		require.Empty(t, r.spool.Pending(), "a restart would treat it as one that may have run")
+		require.Zero(t, r.LegsInFlight())
 	}
 }
 
-func TestALegPickedBeforePickingEndedDoesNotBegin(t *testing.T) {
+func TestLegChosenBeforeStartCtxEndedDoesNotStart(t *testing.T) {
 	r := prepare(t)
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
-	r.stopPicking()
+	r.cancelStart()
 	r.open <- true
-	r.how <- routing.Delivered
+	r.results <- routing.Delivered
 	r.Run()
-	r.stopWorking()
+	r.cancelRun()
 	r.Wait()
-	require.Empty(t, r.gone)
-	require.Len(t, r.spool.Owed(), 1)
+	require.Empty(t, r.sent)
+	require.Len(t, r.spool.Pending(), 1)
 	require.Empty(t, m.Legs)
-	require.Zero(t, r.Out())
+	require.Zero(t, r.LegsInFlight())
 }
 
-// A leg may wait long for its connection, or at the gate.
-func TestALegWithoutItsFirstByteAsPickingEndsIsNotSent(t *testing.T) {
+// A leg may wait long for its connection or at the gate.
+func TestLegWithoutItsFirstByteAsStartCtxEndsIsNotSent(t *testing.T) {
 	r := prepare(t)
-	r.router.Gate = func(int64) bool { r.stopPicking(); return true }
+	r.router.Gate = func(int64) bool { r.cancelStart(); return true }
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
 	r.open <- true
-	r.how <- routing.Delivered
+	r.results <- routing.Delivered
 	r.Run()
-	require.Eventually(t, func() bool { return r.picking.Err() != nil && r.Out() == 0 }, long, glimpse)
-	r.stopWorking()
+	require.Eventually(t, func() bool { return r.startCtx.Err() != nil && r.LegsInFlight() == 0 }, timeout, pollEvery)
+	r.cancelRun()
 	r.Wait()
-	require.Empty(t, r.gone)
+	require.Empty(t, r.sent)
 	require.Len(t, m.Legs, 1)
 	require.True(t, m.Legs[0].NeverRan)
 }
 
-// A stop of the process, right after the record: what stood then may be over.
-func TestALegHaltedBeforeItsFirstByteIsNotSent(t *testing.T) {
+// The process is stopped right after the record of a leg: its authorization may be outdated.
+func TestLegPausedBeforeItsFirstByteIsNotSent(t *testing.T) {
 	r := prepare(t)
-	r.halt = 2 * standsFor * time.Microsecond
+	r.pause = 2 * authorizationMicros * time.Microsecond
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
 	r.open <- true // one only
-	r.how <- routing.Delivered
+	r.results <- routing.Delivered
 	r.Run()
-	require.Eventually(t, func() bool { return r.Tally.Legs[routing.NotSent].Load() > 0 }, long, glimpse)
-	r.stopPicking()
-	r.stopWorking()
+	require.Eventually(t, func() bool { return r.Stats.Legs[routing.NotSent].Load() > 0 }, timeout, pollEvery)
+	r.cancelStart()
+	r.cancelRun()
 	r.Wait()
-	require.Empty(t, r.gone)
+	require.Empty(t, r.sent)
 	require.NotEmpty(t, m.Legs)
 	for _, l := range m.Legs {
 		require.True(t, l.NeverRan)
 	}
 }
 
-// Between the record of a leg and its first byte the list says that the receiver drains.
-func TestALegWhoseReceiverDrainsAsItIsRecordedIsNotSent(t *testing.T) {
+// Between the record of a leg and its first byte the list reports that the receiver drains.
+func TestLegWhoseReceiverDrainsAsItIsRecordedIsNotSent(t *testing.T) {
 	r := prepare(t)
-	r.news = func() {
-		r.router.List([]routing.Listing{{ID: "s", Addr: "h:1", Dst: 7, Kind: "m", Zone: "z"}}, false, false)
+	r.beforeConfirm = func() {
+		r.router.UpdateReceivers([]routing.Listing{{ID: "s", Addr: "h:1", Dst: 7, Kind: "m", Zone: "z"}}, false, false)
 	}
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
 	r.open <- true
-	r.how <- routing.Delivered
+	r.results <- routing.Delivered
 	r.Run()
-	require.Eventually(t, func() bool { return r.Tally.Legs[routing.NotSent].Load()+r.Tally.Legs[routing.Delivered].Load() > 0 }, long, glimpse)
-	r.stopPicking()
-	r.stopWorking()
+	require.Eventually(t, func() bool { return r.Stats.Legs[routing.NotSent].Load()+r.Stats.Legs[routing.Delivered].Load() > 0 }, timeout, pollEvery)
+	r.cancelStart()
+	r.cancelRun()
 	r.Wait()
-	require.Empty(t, r.gone)
+	require.Empty(t, r.sent)
 	require.True(t, m.Legs[0].NeverRan)
 }
 
-// A message that is over while its leg waits for a connection has neither a leg any more nor a line that says the disk fails.
-func TestALegOfAMessageThatIsOverIsNotSentAndNoFault(t *testing.T) {
-	for _, before := range []bool{true, false} { // its record, or after it
+// A message that ends while its leg waits for a connection has no leg any more, and no log line reports a disk failure.
+func TestLegOfAnEndedMessageIsNotSentAndNoFault(t *testing.T) {
+	for _, before := range []bool{true, false} { // before the record of the leg, or after it
 		r := prepare(t)
 		faults, logged := observer.New(zap.WarnLevel)
 		r.log = zap.New(faults)
 		m := r.message("a")
-		gone := func() { r.router.Withdraw("a"); r.Over(m) }
-		r.news = func() {}
+		gone := func() { r.router.Withdraw("a"); r.Complete(m) }
+		r.beforeConfirm = func() {}
 		if before {
 			r.router.Gate = func(int64) bool { gone(); return true }
 		} else {
-			r.news = gone
+			r.beforeConfirm = gone
 		}
-		require.NoError(t, r.Keep(m))
+		require.NoError(t, r.Store(m))
 		r.Resume(m)
 		r.open <- true
-		r.how <- routing.Delivered
+		r.results <- routing.Delivered
 		r.Run()
-		require.Eventually(t, func() bool { return r.Tally.Legs[routing.NotSent].Load()+r.Tally.Legs[routing.Delivered].Load() > 0 }, long, glimpse)
-		r.stopPicking()
-		r.stopWorking()
+		require.Eventually(t, func() bool { return r.Stats.Legs[routing.NotSent].Load()+r.Stats.Legs[routing.Delivered].Load() > 0 }, timeout, pollEvery)
+		r.cancelStart()
+		r.cancelRun()
 		r.Wait()
-		require.Empty(t, r.gone)
+		require.Empty(t, r.sent)
 		require.Zero(t, logged.FilterMessageSnippet("leg").Len())
 	}
 }
 
-type told func()
+type notifierFunc func()
 
-func (f told) Undelivered(Undelivered) { f() }
+func (f notifierFunc) Undelivered(Undelivered) { f() }
 
-// A sender that owes nothing leaves early: whoever sees no message owed must find its notice.
-func TestAMessageIsOwedUntilItsNoticeIsHandedOver(t *testing.T) {
+// A sender without pending messages exits early, so the notice of a message must be handed over before it stops counting as
+// pending.
+func TestMessageIsPendingUntilItsNoticeIsHandedOver(t *testing.T) {
 	r := prepare(t)
-	var owed int64
-	r.Tell(told(func() { owed = r.Owed() }))
+	var pending int64
+	r.SetNotifier(notifierFunc(func() { pending = r.Pending() }))
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.Resume(m)
 	r.router.Withdraw("a")
-	for r.router.Owed() > 0 { // its leg, and its end
-		_, err := r.router.Pick(r.working)
+	for r.router.Pending() > 0 { // its leg and its end
+		_, err := r.router.NextDecision(r.runCtx)
 		require.NoError(t, err)
 	}
-	r.carryOut(routing.Pick{Way: routing.Failed, ID: "a"})
-	require.EqualValues(t, 1, owed)
-	require.Zero(t, r.Owed())
+	r.apply(routing.Decision{Disposition: routing.Failed, ID: "a"})
+	require.EqualValues(t, 1, pending)
+	require.Zero(t, r.Pending())
 }
 
-// A message's time runs out while its leg is out: who hears of the end is given a copy of the attempts as they stand, which a later outcome does
-// not change, and has that outcome from a later reading. That the leg never ran is told on its own too, once, for the end may have been written
-// down by then.
-func TestAnOutcomeAfterTheEndIsReadAndProofIsTold(t *testing.T) {
+// A message expires while its leg is in flight: the notifier gets a copy of the attempts as they are, which a later outcome does
+// not change, and a later call returns that outcome. That the leg never ran is also reported separately, once, because the end
+// may have been stored by then.
+func TestOutcomeAfterTheEndIsReported(t *testing.T) {
 	r := begin(t)
 	proven := make(chan []Attempt, 9)
-	r.Proven = func(id string, attempts []Attempt) {
+	r.OnNeverRan = func(id string, attempts []Attempt) {
 		require.Equal(t, "a", id)
 		proven <- attempts
 	}
 	m := r.message("a")
-	require.NoError(t, r.Keep(m))
+	require.NoError(t, r.Store(m))
 	r.open <- true
 	r.Resume(m)
-	<-r.gone
-	r.tell(r.held["a"], false, 0)
-	u := <-r.ends
+	<-r.sent
+	r.endUndelivered(r.active["a"], false, 0)
+	u := <-r.fakeNotifier
 	atTheEnd := u.Attempts()
-	r.Over(m) // its end is known and written down
-	r.how <- routing.NotConnected
+	r.Complete(m) // its end is known and recorded
+	r.results <- routing.NotConnected
 	later := <-proven
 	require.Len(t, atTheEnd, 1)
 	require.False(t, atTheEnd[0].NeverRan)
@@ -217,8 +218,29 @@
 	require.Empty(t, proven)
 }
 
-func TestWhatStoodCountsForAMomentAndNotPastItsTime(t *testing.T) {
-	require.True(t, stillStands(standsFor, 0, standsFor+1))
-	require.False(t, stillStands(standsFor+1, 0, standsFor+2), "it stood too long ago")
-	require.False(t, stillStands(5, 4, 5), "its time is up")
+// A message ends while a leg waits for its connection, and the leg is then not its channel's turn: no attempt was recorded, so
+// there is nothing to report about the attempts of the message.
+func TestUnrecordedLegAfterTheEndIsNotReported(t *testing.T) {
+	r := prepare(t)
+	reported := make(chan []Attempt, 9)
+	r.OnNeverRan = func(_ string, attempts []Attempt) { reported <- attempts }
+	m := r.message("a")
+	require.NoError(t, r.Store(m))
+	r.Resume(m)
+	r.endUndelivered(r.active["a"], false, 0)
+	<-r.fakeNotifier
+	r.Complete(m)
+	r.Run() // r.open is empty
+	require.Eventually(t, func() bool { return r.Stats.Legs[routing.NotSent].Load() > 0 }, timeout, pollEvery)
+	r.cancelStart()
+	r.cancelRun()
+	r.Wait()
+	require.Empty(t, r.sent)
+	require.Empty(t, reported)
+}
+
+func TestAuthorizationExpires(t *testing.T) {
+	require.True(t, stillAuthorized(authorizationMicros, 0, authorizationMicros+1))
+	require.False(t, stillAuthorized(authorizationMicros+1, 0, authorizationMicros+2), "the authorization is too old")
+	require.False(t, stillAuthorized(5, 4, 5), "it has expired")
 }
--- a/internal/relay/loader.go
+++ b/internal/relay/loader.go
@@ -13,436 +13,447 @@
 	"ravenlink/internal/spool"
 )
 
-// The loader brings back what rests: one goroutine, woken by ends, by what is written down, and by the time at which the next message that
-// rests runs out of time. Only it reads from what rests.
+// The loader loads spilled messages: one goroutine, woken by ends, by new spilled messages, and when the next spilled message is
+// about to expire. Nothing else reads spilled messages.
 
-const longestLook = int64(3600_000_000) // µs between looks for what is due, where nothing is for longer
+const maxSleep = int64(3600_000_000) // µs between checks for expiring messages, if none expires sooner
 
-// Load sets the loader going. Until Recover it only sees to messages whose time ends. It stops when picking ends.
-func (e *Engine) Load() {
-	if e.rest != nil {
-		e.running.Go(e.rest.run)
+// StartLoader starts the loader. Until Recover it only handles messages that expire. It stops when startCtx ends.
+func (e *Engine) StartLoader() {
+	if e.backlog != nil {
+		e.running.Go(e.backlog.run)
 	}
 }
 
-// Recover takes up what the sender owed before its start, in the order in which it was taken on. What rests comes behind, by the loader.
-func (e *Engine) Recover(owed []*spool.Message) {
-	if e.rest != nil {
-		owed = e.rest.holdBack(owed)
+// Recover resumes the messages that were pending before the start, in the order of their acceptance. Spilled messages follow,
+// through the loader.
+func (e *Engine) Recover(pending []*spool.Message) {
+	if e.backlog != nil {
+		pending = e.backlog.deferOrdered(pending)
 	}
-	e.ResumeAll(owed)
-	if e.rest != nil {
-		e.rest.mu.Lock()
-		e.rest.open = true
-		e.rest.mu.Unlock()
-		e.rest.rouse()
+	e.ResumeAll(pending)
+	if e.backlog != nil {
+		e.backlog.mu.Lock()
+		e.backlog.recovered = true
+		e.backlog.mu.Unlock()
+		e.backlog.wakeLoader()
 	}
 }
 
-// holdBack keeps what has no leg and whose key rests from the decisions for now: an earlier message of that key may rest. Danger: one that
-// was read before the restart passes one that the process then had in memory only, and that rests now.
-func (r *rest) holdBack(owed []*spool.Message) (rest []*spool.Message) {
-	for _, m := range owed {
-		if behind, _ := r.key(m); !behind || m.Ended || len(m.Legs) > 0 {
-			rest = append(rest, m)
+// deferOrdered defers messages without a leg whose order key has spilled messages, because an earlier message of that key may be
+// spilled. Otherwise a message that was loaded before the restart would overtake one that the process then had in memory only
+// and that is spilled now.
+func (b *backlogManager) deferOrdered(pending []*spool.Message) (ready []*spool.Message) {
+	for _, m := range pending {
+		if behind, _ := b.keySpilled(m); !behind || m.Ended || len(m.Legs) > 0 {
+			ready = append(ready, m)
 			continue
 		}
-		r.change(func(q *backlog.Queues, now int64) {
-			r.back = append(r.back, m)
-			r.onItsWay(m)
-			q.Back(now, m.Dst)
+		b.withQueues(func(q *backlog.Queues, now int64) {
+			b.deferred = append(b.deferred, m)
+			b.addLoading(m)
+			q.AddLoading(now, m.Dst)
 		})
 	}
-	return rest
+	return ready
 }
 
-// EndMatching ends all that rests and matches, by the usual path, and tells whether all of it is ended; it gives up waiting after so long, while
-// the loader goes on. CountEnds counts what it ends, also then.
-func (e *Engine) EndMatching(match func(*spool.Message) bool, within time.Duration) (done bool) {
-	if e.Resting() == 0 {
+// EndBacklogged ends all matching spilled messages in the usual way, and reports whether all of them have ended. It stops
+// waiting after the given time, while the loader continues. EndCounters registered by CountEnds also count what ends later.
+func (e *Engine) EndBacklogged(match func(*spool.Message) bool, within time.Duration) (done bool) {
+	if e.BacklogSize() == 0 {
 		return true
 	}
-	j := &job{match: match, done: make(chan struct{})}
-	late := time.NewTimer(within)
-	defer late.Stop()
+	request := &endRequest{match: match, done: make(chan struct{})}
+	timeout := time.NewTimer(within)
+	defer timeout.Stop()
 	select {
-	case e.rest.jobs <- j:
-	case <-late.C:
+	case e.backlog.endRequests <- request:
+	case <-timeout.C:
 		return false
 	}
 	select {
-	case <-j.done:
+	case <-request.done:
 		return true
-	case <-late.C:
+	case <-timeout.C:
 		return false
 	}
 }
 
-func (r *rest) run() {
-	picking := r.e.picking
+func (b *backlogManager) run() {
+	startCtx := b.engine.startCtx
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var under *job
-	for picking.Err() == nil {
+	var request *endRequest
+	for startCtx.Err() == nil {
 		select {
-		case <-picking.Done():
+		case <-startCtx.Done():
 			return
-		case <-r.wake:
+		case <-b.wake:
 		case <-timer.C:
-		case under = <-r.jobs:
+		case request = <-b.endRequests:
 		}
-		for more := true; more && picking.Err() == nil; {
-			more = r.step(&under)
+		for more := true; more && startCtx.Err() == nil; {
+			more = b.step(&request)
 		}
-		r.say()
-		timer.Reset(r.nextLook(under))
+		b.logState()
+		timer.Reset(b.sleepTime(request))
 	}
 }
 
-// nextLook is when the loader has to look again though nothing wakes it. Whoever writes a message down that is due sooner wakes it; while
-// it asks, any does. Danger: one written down between the question and its answer's being known would be told late.
-func (r *rest) nextLook(under *job) time.Duration {
-	r.looks.Store(math.MaxInt64)
-	now := r.e.Now()
-	at := min(r.e.spool.NextDue()-backlog.Lead, now+longestLook)
-	if at <= now || under != nil { // it is held up by the platform, or by the disk
-		at = now + glance.Microseconds()
+// sleepTime returns how long the loader sleeps without a signal. Whoever spills a message that expires sooner wakes it; while
+// sleepTime asks the spool, any spilled message does. Otherwise the end of a message spilled between the question and the
+// publication of its answer would be reported late.
+func (b *backlogManager) sleepTime(request *endRequest) time.Duration {
+	b.nextWake.Store(math.MaxInt64)
+	now := b.engine.Now()
+	at := min(b.engine.spool.NextExpiry()-backlog.ExpiryLead, now+maxSleep)
+	if at <= now || request != nil { // the loader waits for the platform or the disk
+		at = now + pollInterval.Microseconds()
 	}
-	if r.pause > now {
-		at = min(at, r.pause)
+	if b.readAfter > now {
+		at = min(at, b.readAfter)
 	}
-	r.looks.Store(at)
+	b.nextWake.Store(at)
 	return time.Duration(at-now) * time.Microsecond
 }
 
-// step does a bounded part of each kind of work: what runs out of time, a job, one destination's turn. It tells whether there is more.
-func (r *rest) step(under **job) (more bool) {
-	r.opened = r.opened || r.mayOpen()
-	if r.opened && r.e.Now() >= r.pause {
-		r.bringBack()
+// step does a bounded part of each kind of work: expiring messages, an end request, the turn of one destination. It reports
+// whether there is more.
+func (b *backlogManager) step(request **endRequest) (more bool) {
+	b.loadEnabled = b.loadEnabled || b.isRecovered()
+	if b.loadEnabled && b.engine.Now() >= b.readAfter {
+		b.resumeDeferred()
 	}
-	more = r.due()
-	if *under == nil {
+	more = b.loadDue()
+	if *request == nil {
 		select {
-		case *under = <-r.jobs:
+		case *request = <-b.endRequests:
 		default:
 		}
 	}
-	if *under != nil && r.mayTell() {
-		if r.work(*under) {
+	if *request != nil && b.mayNotify() {
+		if b.endSome(*request) {
 			more = true
 		} else {
-			close((*under).done)
-			*under = nil
+			close((*request).done)
+			*request = nil
 		}
 	}
-	return r.turn() || more
+	return b.loadNext() || more
 }
 
-func (r *rest) mayOpen() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.open
+func (b *backlogManager) isRecovered() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.recovered
 }
 
-func (r *rest) mayTell() bool { return r.untold() < mostUntold }
+func (b *backlogManager) mayNotify() bool { return b.pendingNotices() < maxPendingNotices }
 
-// read has the loader read, and has hand-ins of keys know it. After a failure, beside which there may be messages, nothing is read for a
-// while, longer each time.
-func (r *rest) read(f func() ([]*spool.Message, error)) (ms []*spool.Message, fine bool) {
-	r.mu.Lock()
-	r.loading, r.reading = true, true
-	r.mu.Unlock()
+// read runs a read of the loader, and lets hand-ins of order keys know of it. After a failure, which may still return messages,
+// nothing is read for a while, longer each time.
+func (b *backlogManager) read(f func() ([]*spool.Message, error)) (ms []*spool.Message, fine bool) {
+	b.mu.Lock()
+	b.batchOpen, b.reading = true, true
+	b.mu.Unlock()
 	ms, err := f()
-	r.failed(err)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.reading = false
+	b.setReadBackoff(err)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.reading = false
 	for _, m := range ms {
-		r.onItsWay(m)
+		b.addLoading(m)
 	}
 	return ms, err == nil
 }
 
-// failed says until when nothing is read.
-func (r *rest) failed(err error) {
+// setReadBackoff sets the time until which nothing is read after an error.
+func (b *backlogManager) setReadBackoff(err error) {
 	if err == nil {
-		r.again, r.pause = 0, 0
+		b.readBackoff, b.readAfter = 0, 0
 		return
 	}
-	r.e.log.Error("what rests cannot be read", zap.Error(err))
-	r.again = min(max(readFirst, 2*r.again), readMost)
-	r.pause = r.e.Now() + r.again
+	b.engine.log.Error("what rests cannot be read", zap.Error(err))
+	b.readBackoff = min(max(minReadBackoff, 2*b.readBackoff), maxReadBackoff)
+	b.readAfter = b.engine.Now() + b.readBackoff
 }
 
-// onItsWay and arrived are called with the lock.
-func (r *rest) onItsWay(m *spool.Message) {
-	r.coming[m.ID] = true
-	if r.keyed && m.OrderKey != "" {
-		r.keys[m.OrderKey]++
+// addLoading and removeLoading are called with the lock held.
+func (b *backlogManager) addLoading(m *spool.Message) {
+	b.loadingIDs[m.ID] = true
+	if b.ordered && m.OrderKey != "" {
+		b.loadingKeys[m.OrderKey]++
 	}
 }
 
-func (r *rest) arrived(m *spool.Message) {
-	delete(r.coming, m.ID)
-	if !r.keyed || m.OrderKey == "" {
+func (b *backlogManager) removeLoading(m *spool.Message) {
+	delete(b.loadingIDs, m.ID)
+	if !b.ordered || m.OrderKey == "" {
 		return
 	}
-	if r.keys[m.OrderKey]--; r.keys[m.OrderKey] <= 0 {
-		delete(r.keys, m.OrderKey)
+	if b.loadingKeys[m.OrderKey]--; b.loadingKeys[m.OrderKey] <= 0 {
+		delete(b.loadingKeys, m.OrderKey)
 	}
 }
 
-// done ends a batch.
-func (r *rest) done() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.loading = false
-	r.lost = slices.DeleteFunc(r.lost, func(id string) bool {
-		if !r.coming[id] {
-			delete(r.claims, id)
+// closeBatch ends a batch.
+func (b *backlogManager) closeBatch() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.batchOpen = false
+	b.withdrawnClaims = slices.DeleteFunc(b.withdrawnClaims, func(id string) bool {
+		if !b.loadingIDs[id] {
+			delete(b.claims, id)
 		}
-		return !r.coming[id]
+		return !b.loadingIDs[id]
 	})
-	r.counted()
+	b.updateSize()
 }
 
-// due reads what is about to run out of time. What the module has room for goes to it, and it ends it in its way; the rest ends here, as
-// the module would end it, for it surely never ran. Danger: the module pushes back other messages than these when it holds too many.
-func (r *rest) due() (more bool) {
-	e := r.e
-	before := e.Now() + backlog.Lead
-	if e.spool.NextDue() >= before || !r.mayTell() || e.Now() < r.pause {
+// loadDue reads messages that are about to expire. Those that the decision module has room for are submitted to it; the others
+// end here as the module would end them, because they certainly never ran. The module would reject other messages in their place
+// when it holds too many.
+func (b *backlogManager) loadDue() (more bool) {
+	e := b.engine
+	before := e.Now() + backlog.ExpiryLead
+	if e.spool.NextExpiry() >= before || !b.mayNotify() || e.Now() < b.readAfter {
 		return false
 	}
-	ms, _ := r.read(func() ([]*spool.Message, error) { return e.spool.LoadDue(before, backlog.DueMost) })
-	defer r.done()
-	r.called(ms)
-	slices.SortStableFunc(ms, taken)
-	e.Backlogged.Due.Add(int64(len(ms)))
-	room, may := r.room(), ms[:0:0]
+	ms, _ := b.read(func() ([]*spool.Message, error) { return e.spool.LoadExpiring(before, backlog.MaxDueBatch) })
+	defer b.closeBatch()
+	b.countLoadedEarly(ms)
+	slices.SortStableFunc(ms, byAcceptance)
+	e.BacklogStats.Due.Add(int64(len(ms)))
+	capacity, submit := b.freeCapacity(), ms[:0:0]
 	for _, m := range ms {
-		if behind, _ := r.key(m); len(may) < room && !behind { // else it would pass what rests of its key
-			may = append(may, m)
+		if behind, _ := b.keySpilled(m); len(submit) < capacity && !behind { // otherwise it would overtake spilled messages of its key
+			submit = append(submit, m)
 			continue
 		}
-		e.Backlogged.Rejected.Add(1)
-		r.end(m)
+		e.BacklogStats.Rejected.Add(1)
+		b.reject(m)
 	}
-	r.takeUp(may)
-	return len(ms) == backlog.DueMost
+	b.activate(submit)
+	return len(ms) == backlog.MaxDueBatch
 }
 
-// room is how many may go to the module before their destinations' turns.
-func (r *rest) room() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.opened {
+// freeCapacity is the number of messages that may be submitted to the module ahead of the turns of their destinations.
+func (b *backlogManager) freeCapacity() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.loadEnabled {
 		return 0
 	}
-	return r.queues.Room()
+	return b.queues.FreeCapacity()
 }
 
-func (r *rest) called(ms []*spool.Message) {
-	r.change(func(q *backlog.Queues, now int64) {
+func (b *backlogManager) countLoadedEarly(ms []*spool.Message) {
+	b.withQueues(func(q *backlog.Queues, now int64) {
 		for _, m := range ms {
-			q.Called(now, m.Dst)
+			q.LoadedEarly(now, m.Dst)
 		}
 	})
 }
 
-// turn brings back messages of the destination whose turn it is.
-func (r *rest) turn() (more bool) {
+// loadNext loads messages of the destination whose turn it is.
+func (b *backlogManager) loadNext() (more bool) {
 	var dst int64
 	var n int
-	r.change(func(q *backlog.Queues, now int64) {
-		if r.opened && now >= r.pause {
+	b.withQueues(func(q *backlog.Queues, now int64) {
+		if b.loadEnabled && now >= b.readAfter {
 			dst, n = q.Next(now)
 		}
 	})
 	if n == 0 {
 		return false
 	}
-	ms, fine := r.read(func() ([]*spool.Message, error) { return r.e.spool.Load(dst, n) })
-	defer r.done()
-	r.e.Backlogged.Loaded.Add(int64(len(ms)))
-	r.change(func(q *backlog.Queues, now int64) {
+	ms, fine := b.read(func() ([]*spool.Message, error) { return b.engine.spool.Load(dst, n) })
+	defer b.closeBatch()
+	b.engine.BacklogStats.Loaded.Add(int64(len(ms)))
+	b.withQueues(func(q *backlog.Queues, now int64) {
 		if fine {
-			q.Missed(now, dst, n-len(ms))
-		} else { // what is gone for good is found to be missing at the next turn
-			q.Unread(now, dst, n-len(ms))
+			q.Missing(now, dst, n-len(ms))
+		} else { // messages that are gone for good are found missing at the next turn
+			q.LoadFailed(now, dst, n-len(ms))
 		}
 	})
-	r.takeUp(r.withEarlier(ms, false))
+	b.activate(b.withPredecessors(ms, false))
 	return true
 }
 
-// withEarlier adds what came before these and rests, of the same keys, in the order in which all were taken on. What is the oldest of its
-// destination has nothing in front of it there, but at others.
-func (r *rest) withEarlier(ms []*spool.Message, here bool) []*spool.Message {
+// withPredecessors adds the earlier spilled messages of the same order keys, in the order of acceptance. The oldest messages of
+// a destination have no predecessors there, but may have some at others.
+func (b *backlogManager) withPredecessors(ms []*spool.Message, here bool) []*spool.Message {
 	latest := map[string]int64{}
 	for _, m := range ms {
-		if rests, elsewhere := r.key(m); elsewhere || rests && here {
-			latest[m.OrderKey] = max(latest[m.OrderKey], m.Taken)
+		if spilled, elsewhere := b.keySpilled(m); elsewhere || spilled && here {
+			latest[m.OrderKey] = max(latest[m.OrderKey], m.AcceptSeq)
 		}
 	}
 	if len(latest) == 0 {
 		return ms
 	}
-	match := func(m *spool.Message) bool { return m.OrderKey != "" && m.Taken < latest[m.OrderKey] }
+	match := func(m *spool.Message) bool { return m.OrderKey != "" && m.AcceptSeq < latest[m.OrderKey] }
 	for {
-		more, fine := r.read(func() ([]*spool.Message, error) { return r.e.spool.LoadMatching(match, backlog.DueMost) })
-		r.called(more)
+		more, fine := b.read(func() ([]*spool.Message, error) { return b.engine.spool.LoadMatching(match, backlog.MaxDueBatch) })
+		b.countLoadedEarly(more)
 		ms = append(ms, more...)
-		if !fine { // some in front of them may not have been read
-			r.back = append(r.back, ms...)
+		if !fine { // some predecessors may not have been read
+			b.deferred = append(b.deferred, ms...)
 			return nil
 		}
-		if len(more) < backlog.DueMost {
+		if len(more) < backlog.MaxDueBatch {
 			break
 		}
 	}
-	slices.SortStableFunc(ms, taken)
+	slices.SortStableFunc(ms, byAcceptance)
 	return ms
 }
 
-// taken compares by the order in which messages were taken on. Danger: given to the decisions in another one, those of a key change places.
-func taken(a, b *spool.Message) int { return cmp.Compare(a.Taken, b.Taken) }
+// byAcceptance compares by the order of acceptance. Submitted in another order, messages of a key would change places.
+func byAcceptance(a, b *spool.Message) int { return cmp.Compare(a.AcceptSeq, b.AcceptSeq) }
 
-// bringBack takes up what was held back, behind what rests of its keys.
-func (r *rest) bringBack() {
-	if len(r.back) == 0 {
+// resumeDeferred submits the deferred messages, after the spilled ones of their keys.
+func (b *backlogManager) resumeDeferred() {
+	if len(b.deferred) == 0 {
 		return
 	}
-	r.mu.Lock()
-	ms := r.back
-	r.back, r.loading = nil, true
-	r.mu.Unlock()
-	defer r.done()
-	r.takeUp(r.withEarlier(ms, true))
+	b.mu.Lock()
+	ms := b.deferred
+	b.deferred, b.batchOpen = nil, true
+	b.mu.Unlock()
+	defer b.closeBatch()
+	b.activate(b.withPredecessors(ms, true))
 }
 
-// work ends a part of what rests and matches; it tells whether there is more.
-func (r *rest) work(j *job) (more bool) {
-	if r.e.Now() < r.pause {
+// endSome ends some of the spilled messages that match, and reports whether there are more.
+func (b *backlogManager) endSome(request *endRequest) (more bool) {
+	if b.engine.Now() < b.readAfter {
 		return false
 	}
-	ms, _ := r.read(func() ([]*spool.Message, error) { return r.e.spool.LoadMatching(j.match, backlog.DueMost) })
-	defer r.done()
-	r.called(ms)
+	ms, _ := b.read(func() ([]*spool.Message, error) {
+		return b.engine.spool.LoadMatching(request.match, backlog.MaxDueBatch)
+	})
+	defer b.closeBatch()
+	b.countLoadedEarly(ms)
 	for _, m := range ms {
-		r.end(m)
+		b.reject(m)
 	}
-	return len(ms) == backlog.DueMost
+	return len(ms) == backlog.MaxDueBatch
 }
 
-// takeUp gives what was read to the decisions, as owed and in one turn. Danger: a purge's fence may come between its being read and the
-// decisions' having it, when neither finds it; so it is looked at before and after.
-func (r *rest) takeUp(ms []*spool.Message) {
-	e := r.e
-	var owed []routing.Message
+// activate submits loaded messages to the decision module, as accepted and in one turn. The fence of a purge may come after a
+// message was read and before the module has it, when neither would find it, so the fence is checked before and after.
+func (b *backlogManager) activate(ms []*spool.Message) {
+	e := b.engine
+	var pending []routing.Message
 	var known []*spool.Message
 	for _, m := range ms {
-		lane, is := e.router.Lane(m.Lane)
+		class, exists := e.router.Class(m.Class)
 		switch {
-		case r.isGone(m):
-			r.over(m)
-			r.gone(m)
-		case r.fenced(m):
-			r.end(m)
-		case !is:
-			r.gone(m)
-			e.undelivered(&carried{msg: m}, false, 0)
+		case b.isWithdrawn(m):
+			b.complete(m)
+			b.setEnded(m)
+		case b.fenced(m):
+			b.reject(m)
+		case !exists:
+			b.setEnded(m)
+			e.undelivered(&delivery{msg: m}, false, 0)
 		default:
-			o := message(m, lane)
-			o.Owed = true
-			owed, known = append(owed, o), append(known, m)
+			o := routingMessage(m, class)
+			o.Accepted = true
+			pending, known = append(pending, o), append(known, m)
 		}
 	}
-	if len(owed) == 0 {
+	if len(pending) == 0 {
 		return
 	}
-	for i, f := range e.router.TakeAll(owed) {
-		r.fate(known[i], f)
+	for i, f := range e.router.AddAll(pending) {
+		b.applyAdmission(known[i], f)
 	}
 }
 
-// fate carries a message that the decisions hold, or ends one that they did not take.
-func (r *rest) fate(m *spool.Message, f routing.Fate) {
-	e := r.e
-	if f.Way != routing.Held {
-		r.gone(m)
-		e.undelivered(&carried{msg: m}, f.Way != routing.Failed, f.Advice)
+// applyAdmission delivers a message that the decision module holds, or ends one that it did not accept.
+func (b *backlogManager) applyAdmission(m *spool.Message, f routing.Admission) {
+	e := b.engine
+	if f.Disposition != routing.Held {
+		b.setEnded(m)
+		e.undelivered(&delivery{msg: m}, f.Disposition != routing.Failed, f.RetryAfter)
 		return
 	}
-	switch carry, left := r.returned(m); {
-	case left:
+	switch deliver, abandoned := b.setActive(m); {
+	case abandoned:
 		e.router.Withdraw(m.ID)
-		e.carry(m)
-	case carry:
-		e.carry(m)
+		e.deliver(m)
+	case deliver:
+		e.deliver(m)
 	}
-	if r.fenced(m) {
+	if b.fenced(m) {
 		e.router.Recall(m.ID)
 	}
 }
 
-func (r *rest) fenced(m *spool.Message) bool { return r.e.Fenced != nil && r.e.Fenced(m) }
+func (b *backlogManager) fenced(m *spool.Message) bool {
+	return b.engine.Fenced != nil && b.engine.Fenced(m)
+}
 
-// isGone tells whether its client never heard that it was taken on.
-func (r *rest) isGone(m *spool.Message) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	c := r.claims[m.ID]
-	return c != nil && c.gone
+// isWithdrawn reports whether the client of a message was never told of its acceptance.
+func (b *backlogManager) isWithdrawn(m *spool.Message) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c := b.claims[m.ID]
+	return c != nil && c.withdrawn
 }
 
-// returned says that the decisions have a message, and tells whether it is to be carried: not where its client has no answer yet, and Carry
-// follows. left: its client never heard, and nobody else will withdraw it. Danger: its slot would be taken for ever.
-func (r *rest) returned(m *spool.Message) (carry, left bool) {
-	r.change(func(q *backlog.Queues, now int64) {
-		r.arrived(m)
-		q.Returned(now, m.Dst)
-		if c := r.claims[m.ID]; c != nil {
-			c.returned, left = m, c.left
+// setActive reports that the decision module has a message, and returns whether it is to be delivered: not if its client has no
+// answer yet, because Deliver follows. abandoned: its client was never answered and nobody else will withdraw the message, which
+// would keep its slot for ever.
+func (b *backlogManager) setActive(m *spool.Message) (deliver, abandoned bool) {
+	b.withQueues(func(q *backlog.Queues, now int64) {
+		b.removeLoading(m)
+		q.Activated(now, m.Dst)
+		if c := b.claims[m.ID]; c != nil {
+			c.loaded, abandoned = m, c.abandoned
 		} else {
-			carry = true
+			deliver = true
 		}
 	})
-	return carry, left
+	return deliver, abandoned
 }
 
-// gone says that a message on its way back has its end.
-func (r *rest) gone(m *spool.Message) {
-	r.change(func(q *backlog.Queues, now int64) {
-		r.arrived(m)
-		q.Gone(now, m.Dst)
-		if c := r.claims[m.ID]; c != nil {
+// setEnded reports that a loading message has ended.
+func (b *backlogManager) setEnded(m *spool.Message) {
+	b.withQueues(func(q *backlog.Queues, now int64) {
+		b.removeLoading(m)
+		q.EndedLoading(now, m.Dst)
+		if c := b.claims[m.ID]; c != nil {
 			c.ended = true
 		}
 	})
 }
 
-// end ends one that was read, without the decisions: pushed back, for it never ran. Its key waits until its end is known, as ever.
-func (r *rest) end(m *spool.Message) {
-	e := r.e
-	if lane, known := e.router.Lane(m.Lane); known && r.keyed && m.OrderKey != "" {
-		ended := message(m, lane)
-		ended.Unheard = true
-		e.router.TakeAll([]routing.Message{ended})
-	}
-	e.GiveUp(m, e.router.ComeBackIn())
-	r.gone(m)
+// reject ends a loaded message without the decision module: rejected, because it never ran. Its key waits until its end is
+// reported, as usual.
+func (b *backlogManager) reject(m *spool.Message) {
+	e := b.engine
+	if class, known := e.router.Class(m.Class); known && b.ordered && m.OrderKey != "" {
+		ended := routingMessage(m, class)
+		ended.EndUnreported = true
+		e.router.AddAll([]routing.Message{ended})
+	}
+	e.AbandonStored(m, e.router.RetryAfter())
+	b.setEnded(m)
 }
 
-// say logs that something rests, and that nothing does any more.
-func (r *rest) say() {
-	n := r.resting.Load()
+// logState logs when messages are spilled, and when none are any more.
+func (b *backlogManager) logState() {
+	n := b.size.Load()
 	switch {
-	case n > 0 && !r.said:
-		r.e.log.Info("messages rest on disk", zap.Int64("resting", n))
-	case n == 0 && r.said:
-		r.e.log.Info("no message rests on disk any more")
+	case n > 0 && !b.logged:
+		b.engine.log.Info("messages rest on disk", zap.Int64("resting", n))
+	case n == 0 && b.logged:
+		b.engine.log.Info("no message rests on disk any more")
 	}
-	r.said = n > 0
+	b.logged = n > 0
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a message's life from take to end, whoever hands it in and however its legs travel: it is given to the
-// decisions, written down, carried, and its one end is told.
+// Package relay takes messages from acceptance to their end, whoever hands them in and whatever transport their legs use: it
+// submits them to the decision module, records them, sends their legs, and reports their end once.
 package relay
 
 import (
@@ -10,74 +10,74 @@
 	"ravenlink/internal/spool"
 )
 
-// Clock is the wall time of the start plus the monotonic time since: no step of the wall clock reaches it,
-// and its times mean the same after a restart.
+// Clock is the wall time at its creation plus the monotonic time since. It ignores steps of the wall clock, and its times stay
+// comparable across restarts.
 type Clock struct{ start time.Time }
 
-// NewClock starts one.
+// NewClock starts a clock at the current time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is in µs since 1970.
+// Now returns the time in µs since 1970.
 func (c Clock) Now() int64 { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
 
-// Undelivered is the end of a message that was taken on and is not delivered.
+// Undelivered is the end of an accepted message that was not delivered.
 type Undelivered struct {
 	Msg        *spool.Message
-	PushedBack bool
-	Advice     int64            // µs after which its client should come again, 0 for none
-	Attempts   func() []Attempt // as they stand when it is called: one may still be out at the end, and what it comes to counts
-	Bare       bool             // its body was erased on a purge's order before this process began
+	Rejected   bool
+	RetryAfter int64            // µs after which its client should retry; 0 for none
+	Attempts   func() []Attempt // returns their current state: one may still be in flight at the end, and its result counts
+	BodyErased bool             // its body was erased by a purge before this process started
 }
 
-// Attempt is a leg on record, and what became of it as far as this process has seen it.
+// Attempt is a recorded leg and its result, as far as this process knows it.
 type Attempt struct {
-	SentAt   int64  // µs since 1970; as on record, which tells the legs of a message apart
-	NeverRan bool   // it surely had no effect
-	Took     int64  // µs
-	Receiver string // empty where this process has seen no outcome, and so Result
-	Result   string
-	Wait     int64 // µs, told by a refusal; 0 for none
+	SentAt     int64  // µs since 1970; as recorded; identifies the leg among those of the message
+	NeverRan   bool   // it certainly had no effect
+	Elapsed    int64  // µs
+	Receiver   string // empty if this process has seen no result; Result is then empty too
+	Result     string
+	RetryAfter int64 // µs, from a refusal; 0 for none
 }
 
-// Ends hears of messages that end undelivered, each once in a process. It calls the engine's Over for a message once
-// nobody need be told of it any more; until then the message outlasts restarts.
-type Ends interface {
+// Notifier is notified of messages that end undelivered, once for each in a process. It calls Engine.Complete for a message once
+// nobody needs to be notified of it any more; until then the message survives restarts.
+type Notifier interface {
 	Undelivered(u Undelivered)
 }
 
-// Watcher hears what becomes of messages, by destination: one was taken on, a leg of it begins, that leg is over and it waits again, a call
-// was turned away, it ended.
-type Watcher interface {
-	Came(dst int64)
-	Began(dst int64)
-	Paused(dst int64)
-	TurnedAway(dst int64)
-	Ended(dst int64)
+// Observer is called for events of messages, by destination: a message was accepted, a leg of it started, that leg ended and the
+// message waits again, a leg was refused, the message ended.
+type Observer interface {
+	MessageAccepted(dst int64)
+	LegStarted(dst int64)
+	LegEnded(dst int64)
+	LegRefused(dst int64)
+	MessageEnded(dst int64)
 }
 
-// Leg is one to be carried.
+// Leg is one attempt to deliver a message to a receiver.
 type Leg struct {
-	Msg      *spool.Message
-	To       routing.Receiver
-	Patience time.Duration
-	Until    int64       // µs; when patience ends
-	Ready    func() bool // asked with the way open: whether the leg may still begin, and is on record
-	Still    func() bool // asked last, right before the first byte: whether what Ready said still counts. It waits for no I/O
+	Msg       *spool.Message
+	Receiver  routing.Receiver
+	Timeout   time.Duration
+	Deadline  int64       // µs; when the timeout expires
+	Authorize func() bool // called with the connection established; returns whether the leg may start and has been recorded
+	Confirm   func() bool // called right before the first byte; returns whether the authorization still holds. It waits for no I/O
 }
 
-// Journey is how a leg went.
-type Journey struct {
-	Result routing.Result
-	Wait   int64 // µs told by a refusal, 0 for none
-	Load   routing.Load
-	Stage  uint8 // for logs
-	Status int   // for logs
+// Outcome is the outcome of a leg.
+type Outcome struct {
+	Result     routing.Result
+	RetryAfter int64 // µs, from a refusal; 0 for none
+	Load       routing.Load
+	Stage      uint8 // for logs
+	Status     int   // for logs
 }
 
-// Carrier is a way in which legs travel. Carry returns when the leg has an outcome, and soon after ctx ends.
-type Carrier interface {
-	Carry(ctx context.Context, l Leg) Journey
+// Transport sends legs to receivers. Send returns when the leg has an outcome, and soon after ctx ends.
+type Transport interface {
+	Send(ctx context.Context, l Leg) Outcome
 }
 
-// A front hands messages in: it calls Take, tells its client, and then either Carry or, if the client never heard, Withdraw
-// before Carry. What a client hears later it hears through Ends.
+// A frontend hands messages in: it calls Accept, answers its client, and then calls Deliver; if the client never received the
+// answer, it calls Withdraw before Deliver. Later news reaches the client through the Notifier.
--- a/internal/routing/cold.go
+++ b/internal/routing/cold.go
@@ -2,8 +2,8 @@
 
 import "ravenlink/choice"
 
-// coldChanged wakes who waits for ColdChanged. It runs at the end of each turn.
-func (r *Router) coldChanged() {
+// signalColdChange signals ColdChanged. It runs at the end of each turn.
+func (r *Router) signalColdChange() {
 	if n := r.sender.ColdChanges(); n != r.coldSeen {
 		r.coldSeen = n
 		select {
@@ -13,23 +13,23 @@
 	}
 }
 
-// ColdChanged has a value once the destinations that may be cold have changed since it was last read.
+// ColdChanged receives a value once the destinations that may be cold have changed since it was last read.
 func (r *Router) ColdChanged() <-chan struct{} { return r.cold }
 
-// ColdDst is a destination that may be cold, and how far it has come in its slow start.
+// ColdDst is a destination that may be cold, and the progress of its slow start.
 type ColdDst = choice.ColdDst
 
-// Cold lists the destinations that may be cold, in their order.
+// Cold lists the destinations that may be cold, in order.
 func (r *Router) Cold() []ColdDst {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sender.At(r.clock())
+	r.sender.SetTime(r.clock())
 	return r.sender.Cold()
 }
 
-// ColdBefore takes what an earlier process of this sender left as Cold. It comes before the first list.
-func (r *Router) ColdBefore(cold []ColdDst) {
+// RestoreCold restores what Cold returned in an earlier process of this sender. It must be called before the first list.
+func (r *Router) RestoreCold(cold []ColdDst) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sender.ColdBefore(cold)
+	r.sender.RestoreCold(cold)
 }
--- a/internal/routing/fleet.go
+++ b/internal/routing/fleet.go
@@ -2,37 +2,40 @@
 
 import "ravenlink/choice"
 
-// What the fleet tells the module. Without any of it the module decides alone.
+// Inputs from the fleet. Without any of them the module decides alone.
 
-// Sight is what a sender saw of a receiver.
-type Sight = choice.Sight
+// Observation is what a sender observed of a receiver.
+type Observation = choice.Observation
 
-// The kinds of sight.
+// The kinds of observations.
 const (
-	SeenDown   = choice.SeenDown
-	SeenBack   = choice.SeenBack
-	SeenWait   = choice.SeenWait
-	SeenLimit  = choice.SeenLimit
-	SeenScarce = choice.SeenScarce
+	ObservedDown         = choice.ObservedDown
+	ObservedRecovery     = choice.ObservedRecovery
+	ObservedRetryAfter   = choice.ObservedRetryAfter
+	ObservedLimit        = choice.ObservedLimit
+	ObservedConnShortage = choice.ObservedConnShortage
 )
 
-// Shared tells this sender's share of a destination's limit, in calls a second: 0 lets nothing go, a negative one withdraws it.
-func (r *Router) Shared(dst int64, perSec float64) {
-	r.turn(func() { r.sender.Shared(dst, perSec) })
+// SetLease sets this sender's share of the limit of a destination, in calls per second: 0 stops all calls, a negative value
+// withdraws the share.
+func (r *Router) SetLease(dst int64, perSec float64) {
+	r.runTurn(func() { r.sender.SetLease(dst, perSec) })
 }
 
-// Told passes on a fellow's sight of a receiver, named by its id. One that no list here names says nothing.
-func (r *Router) Told(receiver string, v Sight) {
-	r.turn(func() {
+// ReceiveObservation passes on a peer's observation of a receiver, identified by its id. An observation of a receiver that is
+// not listed here is ignored.
+func (r *Router) ReceiveObservation(receiver string, v Observation) {
+	r.runTurn(func() {
 		if n, known := r.numberOf(receiver); known {
 			v.Receiver = n
-			r.sender.Told(v)
+			r.sender.ReceiveObservation(v)
 		}
 	})
 }
 
-// Recall takes a message back from the module: it ends at once, or with the outcome of its leg that is out.
-func (r *Router) Recall(id string) { r.turn(func() { r.sender.Recall(id) }) }
+// Recall takes a message back from the module: it ends at once, or with the outcome of its leg in flight.
+func (r *Router) Recall(id string) { r.runTurn(func() { r.sender.Recall(id) }) }
 
-// Floor sets how many repeats a second are always allowed at a destination; negative brings back the module's own.
-func (r *Router) Floor(perSec float64) { r.turn(func() { r.sender.Floor(perSec) }) }
+// SetRetryFloor sets how many retries per second are always allowed for a destination; a negative value restores the module's
+// own.
+func (r *Router) SetRetryFloor(perSec float64) { r.runTurn(func() { r.sender.SetRetryFloor(perSec) }) }
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -7,7 +7,7 @@
 	"ravenlink/choice"
 )
 
-// host carries the module's actions to those who wait for them. All run within a turn and never block.
+// host passes the actions of the module to those who wait for them. All methods run within a turn and never block.
 type host struct{ *Router }
 
 func (h host) receiver(n uint32) (Receiver, bool) {
@@ -18,63 +18,63 @@
 	return Receiver{ID: p.id, Addr: p.addr, Zone: int(p.zone), number: n, dst: p.dst}, true
 }
 
-// Send has Pick return a leg.
-func (h host) Send(msg string, receiver uint32, patience int64) {
-	t := h.tickets[msg]
+// Send makes NextDecision return a leg.
+func (h host) Send(msg string, receiver uint32, timeout int64) {
+	t := h.messages[msg]
 	if t == nil {
 		return
 	}
 	to, _ := h.receiver(receiver)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
-	h.hand(t, Pick{Way: Leg, ID: msg, Number: t.legs, Receiver: to, Ctx: ctx,
-		Patience: time.Duration(patience) * time.Microsecond})
+	h.emit(t, Decision{Disposition: Leg, ID: msg, LegNumber: t.legs, Receiver: to, Ctx: ctx,
+		Timeout: time.Duration(timeout) * time.Microsecond})
 	t.legs++
 }
 
-// Cancel calls off the leg that is out.
+// Cancel cancels the leg in flight.
 func (h host) Cancel(msg string, leg int) {
-	if t := h.tickets[msg]; t != nil && t.cancel != nil && leg == t.legs-1 {
+	if t := h.messages[msg]; t != nil && t.cancel != nil && leg == t.legs-1 {
 		t.cancel()
 	}
 }
 
-// PushBack ends a message unharmed.
-func (h host) PushBack(msg string, comeBackIn int64) { h.end(msg, PushedBack, comeBackIn) }
+// Reject ends a message that certainly did not run; its client may retry.
+func (h host) Reject(msg string, retryAfter int64) { h.end(msg, Rejected, retryAfter) }
 
-// Fail ends a message with no promise.
+// Fail ends a message without a guarantee that it did not run.
 func (h host) Fail(msg string) { h.end(msg, Failed, 0) }
 
-// end has Pick return a message's end, once.
-func (r *Router) end(msg string, way Way, advice int64) {
-	t := r.tickets[msg]
+// end makes NextDecision return the end of a message, once.
+func (r *Router) end(msg string, disposition Disposition, retryAfter int64) {
+	t := r.messages[msg]
 	if t == nil || t.ended != Held {
 		return
 	}
-	t.ended, t.advice = way, advice
-	r.hand(t, Pick{Way: way, ID: msg, Advice: advice})
+	t.ended, t.retryAfter = disposition, retryAfter
+	r.emit(t, Decision{Disposition: disposition, ID: msg, RetryAfter: retryAfter})
 }
 
-// hand queues a decision for Pick, or keeps it with its message until that is carried.
-func (r *Router) hand(t *ticket, p Pick) {
-	if !t.carried {
-		t.kept = append(t.kept, p)
+// emit queues a decision for NextDecision, or buffers it until the message is released.
+func (r *Router) emit(t *messageState, p Decision) {
+	if !t.released {
+		t.buffered = append(t.buffered, p)
 		return
 	}
-	r.picks = append(r.picks, p)
+	r.decisions = append(r.decisions, p)
 	select {
-	case r.picked <- struct{}{}:
+	case r.decided <- struct{}{}:
 	default:
 	}
 }
 
-// Timer asks for a tick.
-func (h host) Timer(in int64, _ uint64) { h.timer.Reset(time.Duration(in) * time.Microsecond) }
+// SetTimer sets the timer of the module.
+func (h host) SetTimer(in int64, _ uint64) { h.timer.Reset(time.Duration(in) * time.Microsecond) }
 
-// Probe asks for a probe.
+// Probe requests a probe.
 func (h host) Probe(receiver uint32) {
 	if to, known := h.receiver(receiver); known {
-		h.chore(Chore{Kind: Probe, Receiver: to})
+		h.addTask(Task{Kind: Probe, Receiver: to})
 	}
 }
 
@@ -85,10 +85,11 @@
 	}
 }
 
-// Note asks for a note to all fellows.
-func (h host) Note(text string) { h.chore(Chore{Kind: Note, Text: text}) }
+// Broadcast requests a note to all peers.
+func (h host) Broadcast(text string) { h.addTask(Task{Kind: Note, Text: text}) }
 
-// Subscribe asks for the watch on the list. Danger: the module asks once; dropped with other chores, it would never be opened.
+// Subscribe requests the watch on the list. The module requests it once, so the request must not be dropped like other tasks:
+// the watch would never be opened.
 func (h host) Subscribe() {
 	select {
 	case h.watch <- struct{}{}:
@@ -96,19 +97,19 @@
 	}
 }
 
-// Log writes a line for people.
+// Log writes a log line.
 func (h host) Log(text string) { h.log(text) }
 
-// Saw asks for a sight to be told to the fleet. Sights come in numbers and give way to the other chores.
-func (h host) Saw(v choice.Sight) {
-	if to, known := h.receiver(v.Receiver); known && len(h.chores) < mostChores/2 {
-		h.chore(Chore{Kind: Saw, Receiver: to, Sight: v})
+// Share requests that an observation is shared with the fleet. Observations are numerous and give way to the other tasks.
+func (h host) Share(v choice.Observation) {
+	if to, known := h.receiver(v.Receiver); known && len(h.tasks) < maxTasks/2 {
+		h.addTask(Task{Kind: ShareObservation, Receiver: to, Observation: v})
 	}
 }
 
-func (r *Router) chore(c Chore) {
+func (r *Router) addTask(c Task) {
 	select {
-	case r.chores <- c:
+	case r.tasks <- c:
 	default:
 	}
 }
--- a/internal/routing/many_test.go
+++ b/internal/routing/many_test.go
@@ -12,7 +12,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// manyListed are receivers of a destination each.
+// manyListed returns n receivers, one for each destination.
 func manyListed(n int) (ls []Listing) {
 	for i := range n {
 		ls = append(ls, Listing{ID: fmt.Sprintf("r-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Dst: int64(1000 + i),
@@ -21,7 +21,7 @@
 	return ls
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -29,16 +29,16 @@
 	return m.HeapAlloc
 }
 
-// Most destinations known never get a message. What a sender keeps of each bounds how many it may know within its memory: 862 bytes
-// when this test was written, without the strings of the list.
-func TestADestinationThatIsOnlyKnownCostsLittle(t *testing.T) {
+// Most known destinations never get a message. The memory for each bounds how many a sender may know: 862 bytes when this test
+// was written, without the strings of the list.
+func TestMemoryOfAKnownDestination(t *testing.T) {
 	const n = 20_000
 	for _, weights := range []string{"off", "nominal"} {
 		c := beginWith(t, strings.Replace(settings, `{"balancers":1`, `{"weight_source":"`+weights+`","balancers":1`, 1))
 		ls := manyListed(n)
-		before := heap()
-		c.List(ls, false, false)
-		each := float64(heap()-before) / n
+		before := heapBytes()
+		c.UpdateReceivers(ls, false, false)
+		each := float64(heapBytes()-before) / n
 		t.Logf("weights %s: %.0f bytes a destination", weights, each)
 		assert.Less(t, each, 500.)
 		runtime.KeepAlive(c)
@@ -46,38 +46,40 @@
 	}
 }
 
-// Nor does one that had a message keep much for ever: 1,583 bytes when this test was written, most of it for budgets of retries.
-func TestADestinationThatHadAMessageCostsNotMuchMore(t *testing.T) {
+// A destination that had a message must not keep much memory for ever either: 1,583 bytes when this test was written, most of it
+// for retry budgets.
+func TestMemoryOfADestinationThatHadAMessage(t *testing.T) {
 	const n = 5000
 	c := begin(t)
 	ls := manyListed(n)
-	before := heap()
-	c.List(ls, false, false)
+	before := heapBytes()
+	c.UpdateReceivers(ls, false, false)
 	for i := range n {
 		id := fmt.Sprint(i)
-		c.Take(Message{ID: id, Dst: int64(1000 + i), Expires: c.now + 8e6})
+		c.Add(Message{ID: id, Dst: int64(1000 + i), Expires: c.now + 8e6})
 		c.now += 1000
 		c.Report(c.pick(id), Delivered, 0, Load{})
-		require.Equal(t, Over, c.pick(id).Way)
+		require.Equal(t, Completed, c.pick(id).Disposition)
 	}
-	each := float64(heap()-before) / n
+	each := float64(heapBytes()-before) / n
 	t.Logf("%.0f bytes a destination", each)
 	assert.Less(t, each, 1200.)
 	runtime.KeepAlive(c)
 	runtime.KeepAlive(ls)
 }
 
-// A list costs by what it changes. Where a change walks over all that is known, 8 times as many cost 8 times as much.
-func TestAChangeCostsByWhatChanges(t *testing.T) {
+// The cost of a list depends on its changes. If a change iterates over all known receivers, 8 times as many cost 8 times as
+// much.
+func TestCostOfAListDependsOnItsChanges(t *testing.T) {
 	run := func(n int) time.Duration {
 		c := begin(t)
 		ls := manyListed(n)
-		c.List(ls, false, false)
+		c.UpdateReceivers(ls, false, false)
 		least := time.Hour
 		for i := range 300 {
 			ls[i].Weight++
 			from := time.Now()
-			c.List(ls[i:i+1], false, false)
+			c.UpdateReceivers(ls[i:i+1], false, false)
 			least = min(least, time.Since(from))
 		}
 		return least
@@ -87,8 +89,8 @@
 	assert.Less(t, float64(many)/float64(few), 3.)
 }
 
-// A large list leaves one line in the log, a small one a line for each new receiver; none while the router is locked.
-func TestNewReceiversOfALargeListHaveOneLine(t *testing.T) {
+// A large list is logged in one line, a small one in a line for each new receiver; nothing is logged while the router is locked.
+func TestNewReceiversOfALargeListAreLoggedInOneLine(t *testing.T) {
 	var lines []string
 	var r *Router
 	r = New(1, gjson.Parse(settings), func() int64 { return 1e12 }, func(string) {}, func(text string) {
@@ -98,17 +100,17 @@
 			r.mu.Unlock()
 		}
 	})
-	ls := manyListed(3 * mostNamed)
-	r.List(ls[:mostNamed], true, false)
-	require.Len(t, lines, mostNamed)
-	assert.Equal(t, fmt.Sprintf("receiver %d of destination 1099 is r-000099 at 10.1.0.99:8080, weight 1", r.receiverNumber(t, "r-000099")), lines[mostNamed-1])
+	ls := manyListed(3 * maxLoggedReceivers)
+	r.UpdateReceivers(ls[:maxLoggedReceivers], true, false)
+	require.Len(t, lines, maxLoggedReceivers)
+	assert.Equal(t, fmt.Sprintf("receiver %d of destination 1099 is r-000099 at 10.1.0.99:8080, weight 1", r.receiverNumber(t, "r-000099")), lines[maxLoggedReceivers-1])
 	lines = nil
-	r.List(ls[:2*mostNamed+1], false, false)
+	r.UpdateReceivers(ls[:2*maxLoggedReceivers+1], false, false)
 	require.Len(t, lines, 1)
 	assert.Contains(t, lines[0], "101 receivers are new with one list, the first is")
 	assert.Contains(t, lines[0], "r-000100 at 10.1.0.100:8080, of destination 1100")
 	lines = nil
-	r.List(ls[:2*mostNamed+1], true, false)
+	r.UpdateReceivers(ls[:2*maxLoggedReceivers+1], true, false)
 	assert.Empty(t, lines, "none is new")
 }
 
@@ -118,11 +120,11 @@
 	return n
 }
 
-// Two ids of one sum have numbers of their own, in whatever order they come and go.
-func TestIDsOfOneSumHaveNumbersOfTheirOwn(t *testing.T) {
+// Two ids with one checksum have numbers of their own, in whatever order they come and go.
+func TestIDsWithOneChecksumHaveDistinctNumbers(t *testing.T) {
 	c := begin(t)
 	at := func(id string, listed bool) {
-		c.List([]Listing{{ID: id, Addr: "h:" + id, Dst: 7, Listed: listed}}, false, false)
+		c.UpdateReceivers([]Listing{{ID: id, Addr: "h:" + id, Dst: 7, Listed: listed}}, false, false)
 	}
 	at("plumless", true)
 	at("buckeroo", true)
@@ -143,5 +145,5 @@
 	c.now += 61e6
 	at("plumless", true)
 	assert.Empty(t, c.numbers)
-	assert.Len(t, c.receivers, c.sender.Believes().Known)
+	assert.Len(t, c.receivers, c.sender.Stats().Known)
 }
--- a/internal/routing/report.go
+++ b/internal/routing/report.go
@@ -8,116 +8,119 @@
 	"ravenlink/choice"
 )
 
-// Result is how a leg or a probe went.
+// Result is the result of a leg or a probe.
 type Result uint8
 
-// The results. Up to NotSent a leg surely never ran.
+// The results. Up to Gone the leg certainly had no effect; Gone proves nothing about earlier legs of its message.
 const (
-	TurnedAway   Result = iota // unseen: above the limit, full, shut
-	NotConnected               // no connection in time, or broken before the last byte
-	NotSent                    // no slot was free, or the leg no longer stood
-	GoneThere                  // not sent: the message is over
+	Refused      Result = iota // refused without being processed: above the limit, at capacity, or shut down
+	NotConnected               // no connection in time, or the connection broke before the last byte was sent
+	NotSent                    // no slot was free, or the decision no longer held
+	Gone                       // not run: the message is over
 	Delivered
 	Errored
 	TimedOut
 	Reset
-	CalledOff
+	Cancelled
 )
 
 func (r Result) String() string {
 	return [...]string{"turned away", "not connected", "not sent", "gone there", "delivered", "errored", "timed out", "reset", "called off"}[r]
 }
 
-// NeverRan tells whether the leg surely had no effect.
-func (r Result) NeverRan() bool { return r <= GoneThere }
+// NeverRan reports whether the leg certainly had no effect.
+func (r Result) NeverRan() bool { return r <= Gone }
 
 var outcomes = map[Result]choice.Outcome{
-	TurnedAway: choice.Full, NotConnected: choice.ConnectFailed, NotSent: choice.Skipped, GoneThere: choice.Skipped,
+	Refused: choice.Refused, NotConnected: choice.ConnectFailed, NotSent: choice.NotSent, Gone: choice.NotSent,
 	Delivered: choice.Delivered, Errored: choice.Errored, TimedOut: choice.TimedOut, Reset: choice.Reset,
-	CalledOff: choice.Cancelled,
+	Cancelled: choice.Cancelled,
 }
 
-// Load is what an answer told of a limit.
+// Load is what an answer reported about a limit.
 type Load struct {
-	Told             bool
+	Reported         bool
 	ShareLeft, Limit float64
 }
 
-func report(l Load, allowed bool) choice.Report {
+func rateLimit(l Load, allowed bool) choice.RateLimit {
 	if !allowed {
-		return choice.Report{}
+		return choice.RateLimit{}
 	}
-	return choice.Report{Told: l.Told, ShareLeft: l.ShareLeft, LimitPerSec: l.Limit}
+	return choice.RateLimit{Known: l.Reported, RemainingShare: l.ShareLeft, LimitPerSec: l.Limit}
 }
 
-// Report tells how a leg went; wait is what a refusal told, in µs, 0 for nothing.
-func (r *Router) Report(p Pick, res Result, wait int64, l Load) {
-	r.settled(p, outcomes[res], wait, res == Delivered || res == GoneThere, report(l, r.inCalls))
+// Report reports the result of a leg; retryAfter is that of a refusal in µs, 0 for none.
+func (r *Router) Report(p Decision, res Result, retryAfter int64, l Load) {
+	r.settle(p, outcomes[res], retryAfter, res == Delivered || res == Gone, rateLimit(l, r.loadInCalls))
 }
 
-// TookBack is Report for a leg that did not begin because its message is not to be carried any more: Over follows. Danger: a leg picked and not
-// reported keeps its slot for good.
-func (r *Router) TookBack(p Pick) { r.settled(p, choice.Skipped, 0, true, choice.Report{}) }
+// ReportUnstarted is Report for a leg that did not start because its message is not to be delivered any more: Completed follows.
+// A leg that is chosen and never reported keeps its slot for good.
+func (r *Router) ReportUnstarted(p Decision) {
+	r.settle(p, choice.NotSent, 0, true, choice.RateLimit{})
+}
 
-func (r *Router) settled(p Pick, o choice.Outcome, wait int64, final bool, report choice.Report) {
-	r.turn(func() {
-		r.sender.Settled(p.ID, p.Number, o, wait, final, report)
-		if t := r.tickets[p.ID]; t != nil && t.cancel != nil && t.legs == p.Number+1 {
+func (r *Router) settle(p Decision, o choice.Outcome, retryAfter int64, final bool, limit choice.RateLimit) {
+	r.runTurn(func() {
+		r.sender.LegEnded(p.ID, p.LegNumber, o, retryAfter, final, limit)
+		if t := r.messages[p.ID]; t != nil && t.cancel != nil && t.legs == p.LegNumber+1 {
 			t.cancel()
 			t.cancel = nil
 		}
 		if final {
-			r.end(p.ID, Over, 0)
+			r.end(p.ID, Completed, 0)
 		}
 	})
 }
 
-// Probed tells how a probe went.
-func (r *Router) Probed(to Receiver, res Result, l Load) {
-	r.turn(func() { r.sender.Probed(to.number, outcomes[res], report(l, r.inProbes)) })
+// ReportProbe reports the result of a probe.
+func (r *Router) ReportProbe(to Receiver, res Result, l Load) {
+	r.runTurn(func() { r.sender.ProbeEnded(to.number, outcomes[res], rateLimit(l, r.loadInProbes)) })
 }
 
-// List takes a list of receivers, whole or changes only. remembered marks the one from before the start.
-func (r *Router) List(listings []Listing, whole, remembered bool) {
-	form := choice.Changes
+// UpdateReceivers applies a list of receivers, complete or changes only. remembered marks the list saved before the start.
+func (r *Router) UpdateReceivers(listings []Listing, whole, remembered bool) {
+	form := choice.Delta
 	switch {
 	case remembered:
-		form = choice.Remembered
+		form = choice.Cached
 	case whole:
-		form = choice.Whole
+		form = choice.Snapshot
 	}
-	var fresh []named
+	var fresh []newReceiver
 	count := 0
-	r.turn(func() {
+	r.runTurn(func() {
 		if len(r.receivers) == 0 {
-			r.receivers = make(map[uint32]*place, len(listings))
+			r.receivers = make(map[uint32]*receiverInfo, len(listings))
 		}
 		entries := make([]choice.Entry, 0, len(listings))
 		for _, l := range listings {
-			n, isNew := r.number(l)
+			n, isNew := r.assignNumber(l)
 			if isNew {
-				if count++; count <= mostNamed {
-					fresh = append(fresh, named{n, l})
+				if count++; count <= maxLoggedReceivers {
+					fresh = append(fresh, newReceiver{n, l})
 				}
 			}
 			entries = append(entries, choice.Entry{Receiver: n, Dst: l.Dst, Weight: l.Weight, Listed: l.Listed,
 				Kind: slices.Index(r.kinds, l.Kind), Zone: slices.Index(r.zones, l.Zone)})
 		}
-		r.sender.Listed(form, entries)
+		r.sender.UpdateList(form, entries)
 		r.forgetGone()
 	})
-	r.name(fresh, count)
+	r.logNew(fresh, count)
 }
 
-// named is a receiver new with a list.
-type named struct {
+// newReceiver is a receiver that a list named for the first time.
+type newReceiver struct {
 	number uint32
 	l      Listing
 }
 
-// name logs which receivers are new with a list, after its turn. Danger: a line for each of a large list holds everybody up.
-func (r *Router) name(fresh []named, count int) {
-	if count > mostNamed {
+// logNew logs the receivers that are new with a list, after its turn. A line for each receiver of a large list would hold up all
+// callers.
+func (r *Router) logNew(fresh []newReceiver, count int) {
+	if count > maxLoggedReceivers {
 		l := fresh[0].l
 		r.log(fmt.Sprintf("%d receivers are new with one list, the first is %d, %s at %s, of destination %d", count, fresh[0].number, l.ID, l.Addr, l.Dst))
 		return
@@ -127,7 +130,7 @@
 	}
 }
 
-// forgetGone drops the names of receivers that the module has just forgotten.
+// forgetGone deletes the receivers that the module has just forgotten.
 func (r *Router) forgetGone() {
 	for _, n := range r.sender.Forgotten() {
 		if p := r.receivers[n]; p != nil {
@@ -137,20 +140,20 @@
 	}
 }
 
-// ListLost says that a watch could not be had or broke.
-func (r *Router) ListLost() { r.turn(func() { r.sender.Listed(choice.LookupFailed, nil) }) }
+// WatchFailed reports that a watch could not be opened or broke.
+func (r *Router) WatchFailed() { r.runTurn(func() { r.sender.UpdateList(choice.LookupFailed, nil) }) }
 
-// ListAsked says that discovery is called for the list although the module has not asked.
-func (r *Router) ListAsked() { r.turn(func() { r.sender.Asked() }) }
+// ListRequested reports that the list is being requested from discovery although the module has not asked for it.
+func (r *Router) ListRequested() { r.runTurn(func() { r.sender.LookupStarted() }) }
 
-// place is a receiver by its name.
-type place struct {
+// receiverInfo is what the router knows of a receiver.
+type receiverInfo struct {
 	id, addr string
 	dst      int64
 	zone     int32
 }
 
-// numberOf is the number of a receiver known by its id.
+// numberOf returns the number of a receiver by its id.
 func (r *Router) numberOf(id string) (uint32, bool) {
 	sum := crc32.ChecksumIEEE([]byte(id))
 	if p := r.receivers[sum]; p != nil && p.id == id {
@@ -160,20 +163,20 @@
 	return n, known
 }
 
-// number gives a receiver its number, the same at every sender, for notes name receivers by it; and keeps its
-// newest address. It tells whether it is new.
-func (r *Router) number(l Listing) (n uint32, isNew bool) {
+// assignNumber returns the number of a receiver, creating it if needed, and updates its address. Numbers are the same at every
+// sender, because notes identify receivers by them. isNew reports whether the receiver is new.
+func (r *Router) assignNumber(l Listing) (n uint32, isNew bool) {
 	n, known := r.numberOf(l.ID)
 	if !known {
 		isNew, n = true, crc32.ChecksumIEEE([]byte(l.ID))
 		sum := n
 		for r.receivers[n] != nil {
-			n++ // two ids of one sum: a fellow's note may mean the other, and no rule leans on notes
+			n++ // two ids with one checksum: a peer's note may mean the other receiver, but no rule depends on notes
 		}
 		if n != sum {
 			r.numbers[l.ID] = n
 		}
-		r.receivers[n] = &place{id: l.ID}
+		r.receivers[n] = &receiverInfo{id: l.ID}
 	}
 	p := r.receivers[n]
 	p.dst = l.Dst
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing is the decision module's facade, in blocking style: Pick waits for what becomes of the messages,
-// Report tells how a leg went, Tick lets time pass. It alone knows the module's events and actions.
+// Package routing wraps the decision module (package choice) for blocking callers: NextDecision waits for decisions on messages,
+// Report reports the result of a leg, RunTimer lets time pass. Only this package knows the events and actions of the module.
 package routing
 
 import (
@@ -15,57 +15,57 @@
 )
 
 const (
-	mostChores = 256 // probes and notes waiting to be carried out; further ones are dropped
-	mostNamed  = 100 // receivers new with one list that have a log line each; of more only the count is told
+	maxTasks           = 256 // probes and notes waiting to be run; further ones are dropped
+	maxLoggedReceivers = 100 // new receivers of one list that are logged one by one; beyond this only their number is logged
 )
 
 // Message is what the module needs to know of a message.
 type Message struct {
-	ID       string
-	Lane     int
-	OrderKey string
-	Dst      int64
-	Expires  int64 // µs of the router's clock
-	Past     []PastLeg
-	Owed     bool // taken on and on record already: it is held, whatever the room, and waits for a list that is late
-	Unheard  bool // it ended before a restart and nobody knows of its end yet: it only stands in its key's line
+	ID            string
+	Class         int
+	OrderKey      string
+	Dst           int64
+	Expires       int64 // µs, by the router's clock
+	Past          []PastLeg
+	Accepted      bool // accepted and recorded before: it is held even beyond the capacity, and waits for a list that is late
+	EndUnreported bool // it ended before a restart and its end has not been reported: it only keeps its place in the order of its key
 }
 
-// Fate is what became of a message in the turn that took it in.
-type Fate struct {
-	Way    Way
-	Advice int64 // µs after which a client pushed back should come again, 0 for none
+// Admission is the result of adding a message, in the turn that added it.
+type Admission struct {
+	Disposition Disposition
+	RetryAfter  int64 // µs after which the client of a rejected message should retry; 0 for none
 }
 
 // PastLeg is a leg from before a restart.
 type PastLeg = choice.PastLeg
 
-// Way is what becomes of a message next.
-type Way uint8
+// Disposition is what happens to a message next.
+type Disposition uint8
 
-// The ways of a message.
+// The dispositions of a message.
 const (
-	Held       Way = iota // it waits
-	Leg                   // a leg goes out
-	PushedBack            // over: its client may come again
-	Failed                // over, with no promise
-	Over                  // delivered or withdrawn: nothing is owed
-	NoRoom                // not taken: the holding room is full
-	Twice                 // not taken: it is held already
+	Held       Disposition = iota // it waits
+	Leg                           // a leg is sent
+	Rejected                      // over: its client may retry
+	Failed                        // over, without a guarantee that it did not run
+	Completed                     // delivered or withdrawn: nothing is due
+	AtCapacity                    // not added: the router is at its capacity
+	Duplicate                     // not added: a message with this id is held
 )
 
-// Pick is a decision on a message.
-type Pick struct {
-	Way      Way
-	ID       string
-	Number   int // of the leg
-	Receiver Receiver
-	Patience time.Duration
-	Advice   int64           // µs after which a client pushed back should come again, 0 for none
-	Ctx      context.Context // of the leg; ends when it is called off
+// Decision is a decision of the module on a message.
+type Decision struct {
+	Disposition Disposition
+	ID          string
+	LegNumber   int // of the leg, counted from 0
+	Receiver    Receiver
+	Timeout     time.Duration
+	RetryAfter  int64           // µs after which the client of a rejected message should retry; 0 for none
+	Ctx         context.Context // context of the leg; ends when the leg is cancelled
 }
 
-// Receiver is where a leg or probe goes.
+// Receiver is the target of a leg or a probe.
 type Receiver struct {
 	ID, Addr string
 	Zone     int
@@ -81,91 +81,91 @@
 	Listed               bool
 }
 
-// ChoreKind tells chores apart.
-type ChoreKind uint8
+// TaskKind is the kind of a task.
+type TaskKind uint8
 
-// The chores that belong to no message.
+// The kinds of tasks, which belong to no message.
 const (
-	Probe ChoreKind = iota
+	Probe TaskKind = iota
 	Note
 	Watch
-	Saw // only for a fleet; others may leave it
+	ShareObservation // for fleets only; others may ignore it
 )
 
-// Chore is something to be done beside the messages.
-type Chore struct {
-	Kind     ChoreKind
-	Receiver Receiver
-	Text     string
-	Sight    Sight // of Saw; its receiver's number means nothing elsewhere, Receiver.ID does
+// Task is work in the background that belongs to no message.
+type Task struct {
+	Kind        TaskKind
+	Receiver    Receiver
+	Text        string
+	Observation Observation // for ShareObservation; the number of its receiver is local, Receiver.ID is not
 }
 
-// Router owns the module. Turns run one at a time; each takes in all that has queued up since the last.
+// Router owns the module. Turns run one at a time; each processes all events queued since the last.
 type Router struct {
-	clock     func() int64
-	closeIdle func(receiver string)
-	log       func(text string)
-	lanes     []string
-	kinds     []string
-	zones     []string
-	room      int
-	inCalls   bool // reports come with answers to calls
-	inProbes  bool // and to probes
-	inOrder   bool // some lane keeps an order
+	clock        func() int64
+	closeIdle    func(receiver string)
+	log          func(text string)
+	classes      []string
+	kinds        []string
+	zones        []string
+	capacity     int
+	loadInCalls  bool // answers to calls report load
+	loadInProbes bool // answers to probes report load
+	ordered      bool // whether a traffic class is ordered
 
 	queueMu sync.Mutex
 	queue   []func() // events waiting for a turn
 
-	mu        sync.Mutex // held for a turn, never over I/O
+	mu        sync.Mutex // held during a turn, never during I/O
 	sender    *choice.Sender
-	tickets   map[string]*ticket // one for each message not over or with a leg out; at most room and what was recovered
-	picks     []Pick             // for Pick to return; a leg and an end at most for each ticket
-	picked    chan struct{}      // there are some
-	receivers map[uint32]*place  // by number, as many as receivers that the module knows; emptied as it forgets them
-	numbers   map[string]uint32  // those whose number is not the sum of their id
-	chores    chan Chore
-	watch     chan struct{} // the watch is asked for
-	cold      chan struct{} // the destinations that may be cold have changed since Cold
-	coldSeen  int           // changes of them so far
+	messages  map[string]*messageState // one for each message that is not over or has a leg in flight; at most capacity and the recovered ones
+	decisions []Decision               // for NextDecision to return; at most a leg and an end for each message
+	decided   chan struct{}            // signals that there are decisions
+	receivers map[uint32]*receiverInfo // by number; exactly the receivers that the module knows; deleted as it forgets them
+	numbers   map[string]uint32        // receivers whose number is not the checksum of their id
+	tasks     chan Task
+	watch     chan struct{} // signals that the module requested the watch
+	cold      chan struct{} // signals that the destinations that may be cold have changed since Cold
+	coldSeen  int           // number of these changes so far
 	timer     *time.Timer
 
-	// Gate, where set before the first message, is asked last before a leg's first byte: may a call go to this destination now?
-	// It is asked with no lock of the router held, and may take a moment.
+	// Gate, if set before the first message, is the last check before the first byte of a leg: may a call to this destination
+	// start now? It is called without a lock of the router and may take a moment.
 	Gate func(dst int64) bool
 }
 
-// ticket is a message's place at the router.
-type ticket struct {
-	carried bool   // its decisions go to Pick
-	kept    []Pick // those from before: a leg, and the end that may follow it in the same turn
-	legs    int
-	cancel  context.CancelFunc // of the leg out
-	ended   Way
-	advice  int64
+// messageState is the state of a message at the router.
+type messageState struct {
+	released   bool       // its decisions go to NextDecision
+	buffered   []Decision // earlier decisions: a leg, and the end that may follow it in the same turn
+	legs       int
+	cancel     context.CancelFunc // of the leg in flight
+	ended      Disposition
+	retryAfter int64
 }
 
-// New starts a router over a module of its own. closeIdle must not block.
+// New creates a router with a module of its own. closeIdle must not block.
 func New(seed uint64, settings gjson.Result, clock func() int64, closeIdle func(string), log func(string)) *Router {
 	r := &Router{clock: clock, closeIdle: closeIdle, log: log,
-		lanes: startup.LaneNames(settings), kinds: startup.KindNames(settings), zones: startup.ZoneNames(settings),
-		room: startup.MostHeld(settings), tickets: map[string]*ticket{}, numbers: map[string]uint32{},
-		receivers: map[uint32]*place{}, picked: make(chan struct{}, 1), chores: make(chan Chore, mostChores),
+		classes: startup.ClassNames(settings), kinds: startup.KindNames(settings), zones: startup.ZoneNames(settings),
+		capacity: startup.MaxQueued(settings), messages: map[string]*messageState{}, numbers: map[string]uint32{},
+		receivers: map[uint32]*receiverInfo{}, decided: make(chan struct{}, 1), tasks: make(chan Task, maxTasks),
 		watch: make(chan struct{}, 1), cold: make(chan struct{}, 1), timer: time.NewTimer(0)}
-	r.inCalls, r.inProbes = startup.Reports(settings)
-	r.sender = startup.Sender(host{r}, seed, settings, 1)
-	r.sender.TellsLater()
-	r.inOrder = startup.KeepsOrder(settings)
+	r.loadInCalls, r.loadInProbes = startup.LoadReports(settings)
+	r.sender = startup.NewSender(host{r}, seed, settings, 1)
+	r.sender.ReportEndsLater()
+	r.ordered = startup.HasOrderedClass(settings)
 	return r
 }
 
-// Lane finds a lane by its name.
-func (r *Router) Lane(name string) (int, bool) {
-	i := slices.Index(r.lanes, name)
+// Class returns the number of a traffic class by its name.
+func (r *Router) Class(name string) (int, bool) {
+	i := slices.Index(r.classes, name)
 	return i, i >= 0
 }
 
-// turn queues an event and sees that a turn takes it in, its own or that of another goroutine.
-func (r *Router) turn(event func()) {
+// runTurn queues an event and makes sure that a turn processes it, its own or that of another goroutine.
+func (r *Router) runTurn(event func()) {
 	r.queueMu.Lock()
 	r.queue = append(r.queue, event)
 	r.queueMu.Unlock()
@@ -178,237 +178,239 @@
 	if len(events) == 0 {
 		return
 	}
-	r.sender.At(r.clock())
+	r.sender.SetTime(r.clock())
 	for _, e := range events {
 		e()
 	}
 	r.sender.Decide()
-	r.coldChanged()
+	r.signalColdChange()
 }
 
-// Take hands a message to the module and tells whether it is held, or ended on the spot. Nothing of a held one
-// comes out of Pick before Carry.
-func (r *Router) Take(m Message) (Way, int64) {
-	f := r.TakeAll([]Message{m})[0]
-	return f.Way, f.Advice
+// Add submits a message to the module and returns whether it is held or ended at once. No decision on a held message is returned
+// by NextDecision before Release.
+func (r *Router) Add(m Message) (Disposition, int64) {
+	f := r.AddAll([]Message{m})[0]
+	return f.Disposition, f.RetryAfter
 }
 
-// TakeAll is Take for several, in their order and in one turn, and tells the fate of each. Danger: a turn for each costs a look at all
-// destinations that wait for a slot, so the start of a sender that owes much takes minutes. A turn keeps all others out: whoever
-// brings many cuts them up.
-func (r *Router) TakeAll(ms []Message) []Fate {
-	ts, fates := make([]*ticket, len(ms)), make([]Fate, len(ms))
-	r.turn(func() {
+// AddAll is Add for several messages, in their order and in one turn; it returns the admission of each. A turn for each message
+// would look at all destinations that wait for a slot, so that the start of a sender with many pending messages would take
+// minutes. A turn keeps all other events waiting, so callers with many messages split them.
+func (r *Router) AddAll(ms []Message) []Admission {
+	ts, admissions := make([]*messageState, len(ms)), make([]Admission, len(ms))
+	r.runTurn(func() {
 		for i, m := range ms {
-			ts[i], fates[i].Way = r.take(m)
+			ts[i], admissions[i].Disposition = r.add(m)
 		}
 		if len(ms) > 1 {
-			r.sender.MakeRoom()
+			r.sender.ShedExcess()
 		}
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, t := range ts {
 		switch {
-		case fates[i].Way == NoRoom:
-			fates[i].Advice = r.sender.ComeBackIn(0)
+		case admissions[i].Disposition == AtCapacity:
+			admissions[i].RetryAfter = r.sender.RetryAfter(0)
 		case t == nil:
 		case t.ended != Held && t.legs == 0:
-			if !ms[i].Owed { // the answer to its client tells it; of one from before a restart the platform hears
-				r.sender.EndKnown(ms[i].ID)
+			if !ms[i].Accepted { // the answer to its client reports it; the end of a recovered one is reported to the platform
+				r.sender.EndReported(ms[i].ID)
 			}
-			delete(r.tickets, ms[i].ID)
-			fates[i] = Fate{t.ended, t.advice}
+			delete(r.messages, ms[i].ID)
+			admissions[i] = Admission{t.ended, t.retryAfter}
 		}
 	}
-	return fates
+	return admissions
 }
 
-// take brings one message into the turn that runs; it has no ticket where it is not taken.
-func (r *Router) take(m Message) (*ticket, Way) {
+// add adds one message in the current turn; it returns no state for a message that is not added.
+func (r *Router) add(m Message) (*messageState, Disposition) {
 	switch {
-	case m.Unheard:
-		r.sender.Unheard(m.ID, m.Lane, m.OrderKey, m.Dst)
+	case m.EndUnreported:
+		r.sender.RestoreUnreported(m.ID, m.Class, m.OrderKey, m.Dst)
 		return nil, Held
-	case r.tickets[m.ID] != nil:
-		return nil, Twice
-	case len(r.tickets) >= r.room && !m.Owed:
-		return nil, NoRoom
+	case r.messages[m.ID] != nil:
+		return nil, Duplicate
+	case len(r.messages) >= r.capacity && !m.Accepted:
+		return nil, AtCapacity
 	}
-	t := &ticket{legs: len(m.Past)}
-	if m.Owed { // danger: an old or empty list would have all that a restart found untried given up with no call
-		r.sender.Owes(m.Dst)
+	t := &messageState{legs: len(m.Past)}
+	if m.Accepted { // otherwise an old or empty list would make the module give up all messages that a restart found untried, without a call
+		r.sender.RestoreDst(m.Dst)
 	}
-	r.tickets[m.ID] = t
-	r.sender.Take(m.ID, m.Lane, m.OrderKey, m.Dst, m.Expires, m.Past...)
-	r.resume(m)
+	r.messages[m.ID] = t
+	r.sender.Accept(m.ID, m.Class, m.OrderKey, m.Dst, m.Expires, m.Past...)
+	r.restoreLastLeg(m)
 	return t, Held
 }
 
-// EndKnown says that whoever handed a message in knows its end.
-func (r *Router) EndKnown(id string) {
-	if r.inOrder {
-		r.turn(func() { r.sender.EndKnown(id) })
+// EndReported reports that whoever handed a message in has been told of its end.
+func (r *Router) EndReported(id string) {
+	if r.ordered {
+		r.runTurn(func() { r.sender.EndReported(id) })
 	}
 }
 
-// Restarted says that an earlier process of this sender may have left attempts behind.
-func (r *Router) Restarted() { r.turn(r.sender.Restarted) }
+// Restarted reports that an earlier process of this sender may have left attempts behind.
+func (r *Router) Restarted() { r.runTurn(r.sender.Restarted) }
 
-// resume brings in how the last leg of a recovered message went: it was cut short, or never ran.
-func (r *Router) resume(m Message) {
+// restoreLastLeg reports the result of the last leg of a recovered message: it was interrupted, or never ran.
+func (r *Router) restoreLastLeg(m Message) {
 	if len(m.Past) == 0 {
 		return
 	}
 	last := len(m.Past) - 1
 	o := choice.Reset
 	if m.Past[last].NeverRan {
-		o = choice.Skipped
+		o = choice.NotSent
 	}
-	r.sender.Settled(m.ID, last, o, 0, false, choice.Report{})
+	r.sender.LegEnded(m.ID, last, o, 0, false, choice.RateLimit{})
 }
 
-// Withdraw says that nobody wants a message any more.
+// Withdraw reports that a message is not wanted any more.
 func (r *Router) Withdraw(id string) {
-	r.turn(func() {
-		r.sender.Withdrawn(id)
-		r.end(id, Over, 0)
+	r.runTurn(func() {
+		r.sender.Withdraw(id)
+		r.end(id, Completed, 0)
 	})
 }
 
-// Forget takes back a message just taken, of which no leg has gone out.
+// Forget takes back a message just added, of which no leg has been sent.
 func (r *Router) Forget(id string) {
-	r.turn(func() {
-		r.sender.Withdrawn(id)
-		if t := r.tickets[id]; t != nil && t.legs > 0 {
-			r.sender.Settled(id, t.legs-1, choice.Skipped, 0, true, choice.Report{})
+	r.runTurn(func() {
+		r.sender.Withdraw(id)
+		if t := r.messages[id]; t != nil && t.legs > 0 {
+			r.sender.LegEnded(id, t.legs-1, choice.NotSent, 0, true, choice.RateLimit{})
 		}
-		r.sender.EndKnown(id) // danger: it may have ended meanwhile, nobody would tell that, and its key would wait for ever
-		delete(r.tickets, id)
+		r.sender.EndReported(id) // it may have ended meanwhile; its end would never be reported and its key would wait for ever
+		delete(r.messages, id)
 	})
 }
 
-// Carry has the decisions on a message come out of Pick from now on.
-func (r *Router) Carry(id string) {
+// Release makes NextDecision return the decisions on a message from now on.
+func (r *Router) Release(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tickets[id]
+	t := r.messages[id]
 	if t == nil {
 		return
 	}
-	t.carried = true
-	for _, p := range t.kept {
-		r.hand(t, p)
+	t.released = true
+	for _, p := range t.buffered {
+		r.emit(t, p)
 	}
-	t.kept = nil
+	t.buffered = nil
 }
 
-// Pick waits for the next decision on any message carried. After an end the message is no longer known.
-func (r *Router) Pick(ctx context.Context) (Pick, error) {
+// NextDecision waits for the next decision on any released message. After an end the message is no longer known.
+func (r *Router) NextDecision(ctx context.Context) (Decision, error) {
 	for {
 		if p, any := r.next(); any {
 			return p, nil
 		}
 		select {
 		case <-ctx.Done():
-			return Pick{}, ctx.Err()
-		case <-r.picked:
+			return Decision{}, ctx.Err()
+		case <-r.decided:
 		}
 	}
 }
 
-func (r *Router) next() (p Pick, any bool) {
+func (r *Router) next() (p Decision, any bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.picks) == 0 {
-		r.picks = nil
+	if len(r.decisions) == 0 {
+		r.decisions = nil
 		return p, false
 	}
-	p, r.picks = r.picks[0], r.picks[1:]
-	if p.Way != Leg {
-		delete(r.tickets, p.ID)
+	p, r.decisions = r.decisions[0], r.decisions[1:]
+	if p.Disposition != Leg {
+		delete(r.messages, p.ID)
 	}
 	return p, true
 }
 
-// Stands is asked right before a leg's first byte: no wait has been told meanwhile, no drain, no end.
-func (r *Router) Stands(p Pick) bool {
-	if !r.StandsStill(p) {
+// Authorized is called right before the first byte of a leg. It reports whether the decision still holds: since it was made,
+// there was no retry-after, no drain and no end, and the gate lets the call pass.
+func (r *Router) Authorized(p Decision) bool {
+	if !r.Valid(p) {
 		return false
 	}
-	return r.Gate == nil || r.Gate(p.Receiver.dst) && r.StandsStill(p) // the gate may have taken a moment
+	return r.Gate == nil || r.Gate(p.Receiver.dst) && r.Valid(p) // the gate may have taken a moment
 }
 
-// StandsStill is Stands without the gate. It waits for the turn that runs at most.
-func (r *Router) StandsStill(p Pick) bool {
+// Valid is Authorized without the gate. It waits at most for the current turn.
+func (r *Router) Valid(p Decision) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sender.At(r.clock())
-	return p.Ctx.Err() == nil && r.sender.Stands(p.ID, p.Receiver.number)
+	r.sender.SetTime(r.clock())
+	return p.Ctx.Err() == nil && r.sender.MayStart(p.ID, p.Receiver.number)
 }
 
-// Reachable is asked right before a probe's first byte: no wait has been told meanwhile, and no drain.
+// Reachable is called right before the first byte of a probe. It reports whether there has been no retry-after and no drain
+// since.
 func (r *Router) Reachable(to Receiver) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sender.At(r.clock())
+	r.sender.SetTime(r.clock())
 	return r.sender.Reachable(to.number)
 }
 
-// Tick lets the module's time pass until ctx ends.
-func (r *Router) Tick(ctx context.Context) {
+// RunTimer fires the timer of the module until ctx ends.
+func (r *Router) RunTimer(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.timer.C:
-			r.turn(func() { r.sender.Rang(0) })
+			r.runTurn(func() { r.sender.TimerFired(0) })
 		}
 	}
 }
 
-// Chore waits for the next chore.
-func (r *Router) Chore(ctx context.Context) (Chore, error) {
+// NextTask waits for the next task.
+func (r *Router) NextTask(ctx context.Context) (Task, error) {
 	select {
 	case <-ctx.Done():
-		return Chore{}, ctx.Err()
+		return Task{}, ctx.Err()
 	case <-r.watch:
-		return Chore{Kind: Watch}, nil
-	case c := <-r.chores:
+		return Task{Kind: Watch}, nil
+	case c := <-r.tasks:
 		return c, nil
 	}
 }
 
-// Noted takes a fellow's note.
-func (r *Router) Noted(text string) { r.turn(func() { r.sender.Noted(text) }) }
+// HandleNote processes a note from a peer.
+func (r *Router) HandleNote(text string) { r.runTurn(func() { r.sender.ReceiveNote(text) }) }
 
-// Believes tells what the module holds true.
-func (r *Router) Believes() choice.Belief {
+// Stats returns the current state of the module in numbers.
+func (r *Router) Stats() choice.Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sender.Believes()
+	return r.sender.Stats()
 }
 
-// Healthy tells whether the module thinks a destination well.
+// Healthy reports whether the module considers a destination healthy.
 func (r *Router) Healthy(dst int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sender.Healthy(dst)
 }
 
-// Room is how many messages may be held.
-func (r *Router) Room() int { return r.room }
+// Capacity is the number of messages that may be held.
+func (r *Router) Capacity() int { return r.capacity }
 
-// ComeBackIn is what a client is told for which there was no room.
-func (r *Router) ComeBackIn() int64 {
+// RetryAfter is the time after which a client should retry that was turned away at capacity.
+func (r *Router) RetryAfter() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sender.ComeBackIn(0)
+	return r.sender.RetryAfter(0)
 }
 
-// Owed counts the messages not over.
-func (r *Router) Owed() int {
+// Pending counts the messages that are not over.
+func (r *Router) Pending() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.tickets)
+	return len(r.messages)
 }
--- a/internal/shares/bound.go
+++ b/internal/shares/bound.go
@@ -1,22 +1,22 @@
 package shares
 
-// Event is something that happens to a fleet, for which the sum of what its senders may call is bounded.
+// Event is a condition of the fleet for which the deviation of the total call rate from the limit is bounded.
 type Event uint8
 
 // The events of docs/limits.md.
 const (
-	Calm Event = iota
-	LinkSlow
-	CutOneWay
-	CutBothWays
-	EvenHalves
+	NoFault Event = iota
+	SlowLinks
+	PartitionOneWay
+	PartitionBothWays
+	EvenSplit
 	OwnerKilled
 	OwnerPaused
 	MemberJoins
 	MemberDies
 	LimitLowered
 	LimitRaised
-	NoOwner // a majority of a destination's electors is down or cut apart from each other
+	NoOwner // a majority of a destination's voters is down or partitioned from each other
 )
 
 func (e Event) String() string {
@@ -24,74 +24,75 @@
 		"member joins", "member dies", "limit lowered", "limit raised", "no owner"}[e]
 }
 
-// Case is an event with its size.
+// Case is an event with its parameters.
 type Case struct {
-	Event     Event
-	Apart     float64 // share of the listed fleet that is cut off, or dead
-	Old, New  float64 // the limits, where one changes
-	RoundTrip int64   // µs, where a link is slow
+	Event              Event
+	LostFraction       float64 // fraction of the listed fleet that is partitioned or dead
+	OldLimit, NewLimit float64 // before and after a change of the limit
+	RoundTrip          int64   // µs, for slow links
 }
 
-// Bound is how far the sum over all senders may be off in an event, in shares of the limit. Over any window it comes on top of the limit and
-// of Burst.
+// Bound is the maximum deviation of the total over all senders during an event, as a fraction of the limit. Over any window, Burst and the
+// limit itself come on top.
 type Bound struct {
-	Over      float64
-	OverFor   int64 // µs; Always while the event lasts
+	Excess    float64
+	ExcessFor int64 // µs; Always means for as long as the event lasts
 	Unused    float64
 	UnusedFor int64
 }
 
-// Always stands for as long as the event lasts.
+// Always is a duration that lasts as long as the event.
 const Always = int64(-1)
 
-// Bound gives the bound of a case. docs/limits.md has the reasons.
+// Bound returns the bound of a case. docs/limits.md has the reasoning.
 func (t Timing) Bound(c Case) Bound {
-	// until another owner grants: the promises to the last one, a turn for each elector, what the last one granted, and asks
-	take := t.long(t.Vote) + electorsMost*t.stagger() + t.long(t.Lease) + 4*t.Renew
-	doubt := t.long(t.Lease) + t.doubtAfter() + t.Renew
+	// Time until another owner grants: votes for the last owner expire, each voter has its staggered turn, leases of the last owner expire,
+	// and senders repeat their requests.
+	takeover := t.plusDrift(t.Vote) + maxVoters*t.stagger() + t.plusDrift(t.Lease) + 4*t.Renew
+	untilFallback := t.plusDrift(t.Lease) + t.fallbackAfter() + t.Renew
 	switch c.Event {
-	case LinkSlow:
-		return t.slow(c.RoundTrip)
-	case CutOneWay: // the view may not see it, so the owner keeps nothing back
-		return Bound{doubtShare * c.Apart, Always, c.Apart, doubt}
-	case CutBothWays, EvenHalves: // until the view sees it, and the leases given before have ended
-		return Bound{doubtShare * c.Apart, t.cutSeen(), 1, max(take, t.Detect+t.cutSeen())}
-	case OwnerKilled, OwnerPaused: // doubt shares bridge it once the leases have ended
-		return Bound{0, 0, 1, take}
-	case MemberDies: // its lease, then what is kept for a sender that may only be cut off
-		return Bound{0, 0, c.Apart, Always}
+	case SlowLinks:
+		return t.slowLinks(c.RoundTrip)
+	case PartitionOneWay: // the view may not show it, so the owner reserves nothing
+		return Bound{fallbackShare * c.LostFraction, Always, c.LostFraction, untilFallback}
+	case PartitionBothWays, EvenSplit: // until the view shows it and the leases granted before have expired
+		return Bound{fallbackShare * c.LostFraction, t.partitionDelay(), 1, max(takeover, t.Detect+t.partitionDelay())}
+	case OwnerKilled, OwnerPaused: // fallback shares bridge the gap once the leases have expired
+		return Bound{0, 0, 1, takeover}
+	case MemberDies: // its lease, then the reserve for a sender that may only be partitioned
+		return Bound{0, 0, c.LostFraction, Always}
 	case MemberJoins:
 		return Bound{}
 	case LimitLowered:
-		if c.New <= 0 || c.New >= c.Old {
+		if c.NewLimit <= 0 || c.NewLimit >= c.OldLimit {
 			return Bound{}
 		}
-		return Bound{c.Old/c.New - 1, t.long(t.Lease), 0, 0}
+		return Bound{c.OldLimit/c.NewLimit - 1, t.plusDrift(t.Lease), 0, 0}
 	case LimitRaised:
-		if c.New <= c.Old {
+		if c.NewLimit <= c.OldLimit {
 			return Bound{}
 		}
-		return Bound{0, 0, 1 - c.Old/c.New, 2 * t.Renew}
+		return Bound{0, 0, 1 - c.OldLimit/c.NewLimit, 2 * t.Renew}
 	case NoOwner:
-		return Bound{0, 0, 1 - doubtShare, Always}
+		return Bound{0, 0, 1 - fallbackShare, Always}
 	}
 	return Bound{}
 }
 
-// slow is the bound on slow links: single calls out are limited to what covers a short round trip, and a lease is over before it comes
-// when a round trip takes as long.
-func (t Timing) slow(roundTrip int64) Bound {
-	if roundTrip >= t.short(t.Lease) {
+// slowLinks returns the bound on slow links. Outstanding single calls are limited to what covers a short round trip, and a lease has
+// expired on arrival when the round trip takes as long as the lease.
+func (t Timing) slowLinks(roundTrip int64) Bound {
+	if roundTrip >= t.minusDrift(t.Lease) {
 		return Bound{0, 0, 1, Always}
 	}
-	cycle := float64(roundTrip+2*askGap) / 1e6
-	return Bound{0, 0, max(0, 1-ahead/cycle), Always}
+	cycle := float64(roundTrip+2*minRequestGap) / 1e6
+	return Bound{0, 0, max(0, 1-outstandingTime/cycle), Always}
 }
 
-// Starving is the time within which a sender that waits for one call gets it, while it hears an owner and so many senders wait: a turn of each
-// of the others out of the part of the limit that goes to such first, at least a call a second, and what standing rates take to be called
-// back. In calls a second, count and µs.
-func (t Timing) Starving(limit float64, waiting int) int64 {
-	calls := float64(waiting*turnMost) + aheadOf(limit)
-	return int64(calls/(thinMost*limit)*1e6) + drainTime*1_000_000 + 2*t.Renew
+// StarvationBound returns the time in µs within which a sender that waits for one call gets it, while it hears from an owner and the given
+// number of senders wait. The terms are one turn for each other sender, out of the part of the limit that serves small demands first (at
+// least one call per second), the outstanding calls, and the time to revoke standing rates. limit is in calls per second.
+func (t Timing) StarvationBound(limit float64, waiting int) int64 {
+	calls := float64(waiting*maxCallsPerTurn) + maxOutstanding(limit)
+	return int64(calls/(maxSmallShare*limit)*1e6) + drainTime*1_000_000 + 2*t.Renew
 }
--- a/internal/shares/explore_test.go
+++ b/internal/shares/explore_test.go
@@ -12,156 +12,159 @@
 	"ravenlink/internal/post"
 )
 
-var deep = flag.Int("shares.depth", 3, "events in a row that the exploration goes through")
+var maxDepth = flag.Int("shares.depth", 3, "number of consecutive events to explore")
 
-// node is a state of three senders with clocks that agree, one destination, and letters under way.
+// node is a state of three senders with synchronized clocks, one destination, and messages in flight.
 type node struct {
-	ss      []*Table
-	now     int64
-	air     []flight
-	cut     [3]bool // links between 0 and 1, 1 and 2, 2 and 0
-	cuts    int
-	crashes int
-	shifts  int
-	f       fault
+	tables   []*Table
+	now      int64
+	inFlight []flight
+	cut      [3]bool // links between 0 and 1, 1 and 2, 2 and 0
+	cuts     int
+	crashes  int
+	surges   int
+	fault    fault
 }
 
-var three = []string{"s000", "s001", "s002"}
+var nodeNames = []string{"s000", "s001", "s002"}
 
 func (t *Table) copy() *Table {
 	c := *t
-	c.places, c.order, c.out = map[string]*place{}, slices.Clone(t.order), nil
-	for k, p := range t.places {
+	c.destinations, c.names, c.outbox = map[string]*destination{}, slices.Clone(t.names), nil
+	for k, p := range t.destinations {
 		q := *p
-		q.seat.votes, q.seat.seats, q.seat.row = maps.Clone(p.seat.votes), map[string]*seat{}, nil
-		for _, s := range p.seat.row {
+		q.owner.votes, q.owner.holders, q.owner.sorted = maps.Clone(p.owner.votes), map[string]*holder{}, nil
+		for _, s := range p.owner.sorted {
 			d := *s
-			q.seat.row, q.seat.seats[d.name] = append(q.seat.row, &d), &d
+			q.owner.sorted, q.owner.holders[d.name] = append(q.owner.sorted, &d), &d
 		}
-		c.places[k] = &q
+		c.destinations[k] = &q
 	}
-	c.awake, c.resting = nil, nil
-	for _, p := range t.awake {
-		if !p.forgotten {
-			c.awake = append(c.awake, c.places[p.dst])
+	c.active, c.scheduled = nil, nil
+	for _, p := range t.active {
+		if !p.evicted {
+			c.active = append(c.active, c.destinations[p.dst])
 		}
 	}
-	for _, p := range t.resting {
-		c.resting = append(c.resting, c.places[p.dst])
+	for _, p := range t.scheduled {
+		c.scheduled = append(c.scheduled, c.destinations[p.dst])
 	}
 	return &c
 }
 
 func (n *node) copy() *node {
 	c := *n
-	c.ss, c.air = nil, slices.Clone(n.air)
-	for _, t := range n.ss {
-		c.ss = append(c.ss, t.copy())
+	c.tables, c.inFlight = nil, slices.Clone(n.inFlight)
+	for _, t := range n.tables {
+		c.tables = append(c.tables, t.copy())
 	}
 	return &c
 }
 
 var keySeed = maphash.MakeSeed()
 
-func mix[T comparable](h *uint64, v T) { *h = *h*0x9e3779b97f4a7c15 ^ maphash.Comparable(keySeed, v) }
+func hashInto[T comparable](h *uint64, v T) {
+	*h = *h*0x9e3779b97f4a7c15 ^ maphash.Comparable(keySeed, v)
+}
 
 func (n *node) key() (h uint64) {
-	mix(&h, [4]int64{n.now, int64(n.cuts), int64(n.crashes), int64(n.shifts)})
-	mix(&h, n.cut)
-	for _, f := range n.air {
-		mix(&h, f)
-	}
-	for _, t := range n.ss {
-		p := t.places[dst]
-		mix(&h, p.hold)
-		mix(&h, p.vote)
-		mix(&h, [2]float64{p.need, float64(p.waiting)})
-		o := &p.seat
-		mix(&h, [...]int64{t.born, int64(t.life), int64(o.phase), int64(o.term), o.since, o.rest, o.stoodAt, o.wanted, o.from, o.poolAt, int64(o.nextSeat)})
-		mix(&h, o.pool)
-		for _, name := range three {
-			mix(&h, o.votes[name])
-			if s := o.seats[name]; s != nil {
-				mix(&h, *s)
+	hashInto(&h, [4]int64{n.now, int64(n.cuts), int64(n.crashes), int64(n.surges)})
+	hashInto(&h, n.cut)
+	for _, f := range n.inFlight {
+		hashInto(&h, f)
+	}
+	for _, t := range n.tables {
+		d := t.destinations[dst]
+		hashInto(&h, d.lease)
+		hashInto(&h, d.vote)
+		hashInto(&h, [2]float64{d.demand, float64(d.waiting)})
+		o := &d.owner
+		hashInto(&h, [...]int64{t.startedAt, int64(t.runID), int64(o.phase), int64(o.term), o.since, o.retryAt,
+			o.votesRequestedAt, o.lastRequestAt, o.grantFrom, o.poolUpdatedAt, int64(o.nextSession)})
+		hashInto(&h, o.pool)
+		for _, name := range nodeNames {
+			hashInto(&h, o.votes[name])
+			if s := o.holders[name]; s != nil {
+				hashInto(&h, *s)
 			}
 		}
 	}
 	return h
 }
 
-func (n *node) post(from int, ls []post.Letter[Msg]) {
-	for _, l := range ls {
-		to := slices.Index(three, l.To)
+func (n *node) post(from int, messages []post.PeerMessage[Msg]) {
+	for _, m := range messages {
+		to := slices.Index(nodeNames, m.To)
 		if link := map[int]int{1: 0, 3: 1, 2: 2}[from+to]; !n.cut[link] {
-			n.air = append(n.air, flight{n.now, from, to, l.Msg})
+			n.inFlight = append(n.inFlight, flight{n.now, from, to, m.Msg})
 		}
 	}
 }
 
 func (n *node) start(i int) {
-	w := world{names: three, ss: []*sender{{life: uint64(n.now)}, {life: uint64(n.now)}, {life: uint64(n.now)}}}
-	n.ss[i] = New(three[i], three, Usual())
-	n.ss[i].View(n.now, w.view(i))
-	n.ss[i].Limit(n.now, dst, 60, Told)
-	n.ss[i].Need(n.now, dst, 60, 10)
+	w := world{names: nodeNames, senders: []*sender{{runID: uint64(n.now)}, {runID: uint64(n.now)}, {runID: uint64(n.now)}}}
+	n.tables[i] = New(nodeNames[i], nodeNames, DefaultTiming())
+	n.tables[i].SetView(n.now, w.view(i))
+	n.tables[i].SetLimit(n.now, dst, 60, Reported)
+	n.tables[i].SetDemand(n.now, dst, 60, 10)
 }
 
-func (n *node) hear(i int) {
-	f := n.air[i]
-	n.air = slices.Delete(n.air, i, i+1)
-	if n.f == granterClock && f.m.Kind == Grant {
-		f.m.Stamp = n.now - 1
+func (n *node) deliver(i int) {
+	f := n.inFlight[i]
+	n.inFlight = slices.Delete(n.inFlight, i, i+1)
+	if n.fault == leaseFromReceipt && f.m.Kind == Grant {
+		f.m.SentAt = n.now - 1
 	}
-	n.post(f.to, n.ss[f.to].Heard(n.now, three[f.from], f.m))
+	n.post(f.to, n.tables[f.to].Receive(n.now, nodeNames[f.from], f.m))
 }
 
-// pass lets time go by, with all senders but the stopped one taking their turns; letters under way stay there.
-func (n *node) pass(d int64, stopped int) {
+// advance advances time and ticks all senders but the stopped one; messages stay in flight.
+func (n *node) advance(d int64, stopped int) {
 	n.now += d
-	for i, t := range n.ss {
+	for i, t := range n.tables {
 		if i == stopped {
 			continue
 		}
-		n.f.plant(t.places[dst], n.now)
+		n.fault.inject(t.destinations[dst], n.now)
 		n.post(i, t.Tick(n.now))
 	}
 }
 
-func (n *node) calm(rounds int) {
+func (n *node) settle(rounds int) {
 	for range rounds {
-		for k := 0; len(n.air) > 0 && k < 60; k++ {
-			n.hear(0)
+		for k := 0; len(n.inFlight) > 0 && k < 60; k++ {
+			n.deliver(0)
 		}
-		n.pass(250_000, -1)
+		n.advance(250_000, -1)
 	}
 }
 
-// next gives every state that one event leads to.
-func (n *node) next() []*node {
+// successors returns every state that one event leads to.
+func (n *node) successors() []*node {
 	var to []*node
 	add := func(do func(*node)) {
 		c := n.copy()
 		do(c)
 		to = append(to, c)
 	}
-	add(func(c *node) { c.pass(250_000, -1) })
-	for stopped := -1; stopped < len(n.ss); stopped++ {
-		add(func(c *node) { c.pass(1_000_000, stopped) })
+	add(func(c *node) { c.advance(250_000, -1) })
+	for stopped := -1; stopped < len(n.tables); stopped++ {
+		add(func(c *node) { c.advance(1_000_000, stopped) })
 	}
-	add(func(c *node) { c.calm(2) })
-	add(func(c *node) { c.calm(10) })
-	for i := range n.air {
-		add(func(c *node) { c.hear(i) })
-		add(func(c *node) { c.air = slices.Delete(c.air, i, i+1) }) // lost
+	add(func(c *node) { c.settle(2) })
+	add(func(c *node) { c.settle(10) })
+	for i := range n.inFlight {
+		add(func(c *node) { c.deliver(i) })
+		add(func(c *node) { c.inFlight = slices.Delete(c.inFlight, i, i+1) }) // lost
 	}
 	if n.crashes == 0 {
-		for i := range n.ss {
+		for i := range n.tables {
 			add(func(c *node) { c.crashes++; c.start(i) })
 		}
 	}
-	if n.shifts == 0 {
-		for i := range n.ss { // one that needs much more than the others
-			add(func(c *node) { c.shifts++; c.ss[i].Need(c.now, dst, 600, 100) })
+	if n.surges == 0 {
+		for i := range n.tables { // much greater demand than the others
+			add(func(c *node) { c.surges++; c.tables[i].SetDemand(c.now, dst, 600, 100) })
 		}
 	}
 	if n.cuts == 0 {
@@ -172,57 +175,57 @@
 	return to
 }
 
-func (n *node) bad() string {
+func (n *node) violation() string {
 	w := world{now: n.now, limit: 60}
-	for _, t := range n.ss {
-		w.ss = append(w.ss, &sender{Table: t})
+	for _, t := range n.tables {
+		w.senders = append(w.senders, &sender{Table: t})
 	}
-	w.judge()
-	return w.bad
+	w.check()
+	return w.violation
 }
 
-// explorer goes through every order of events up to a depth; a state is gone through again only where more events are left than before.
+// explorer visits every order of events up to a depth. It visits a state again only if more events are left than before.
 type explorer struct {
-	seen map[uint64]int
-	bad  string
+	seen      map[uint64]int
+	violation string
 }
 
-func (e *explorer) from(n *node, depth int) {
-	if e.bad == "" {
-		e.bad = n.bad()
+func (e *explorer) visit(n *node, depth int) {
+	if e.violation == "" {
+		e.violation = n.violation()
 	}
 	k := n.key()
-	if left, ok := e.seen[k]; e.bad != "" || ok && left >= depth {
+	if left, ok := e.seen[k]; e.violation != "" || ok && left >= depth {
 		return
 	}
 	e.seen[k] = depth
 	if depth > 0 {
-		for _, c := range n.next() {
-			e.from(c, depth-1)
+		for _, c := range n.successors() {
+			e.visit(c, depth-1)
 		}
 	}
 }
 
-func explore(f fault, depth int) (states int, bad string) {
-	root := &node{now: 10_000_000, ss: make([]*Table, 3), f: f}
-	for i := range root.ss {
+func explore(f fault, depth int) (states int, violation string) {
+	root := &node{now: 10_000_000, tables: make([]*Table, 3), fault: f}
+	for i := range root.tables {
 		root.start(i)
 	}
-	root.calm(50)
+	root.settle(50)
 	e := &explorer{seen: map[uint64]int{}}
-	e.from(root, depth)
-	return len(e.seen), e.bad
+	e.visit(root, depth)
+	return len(e.seen), e.violation
 }
 
 func TestEveryOrderOfEvents(t *testing.T) {
-	states, bad := explore(none, *deep)
-	t.Logf("%d states to depth %d", states, *deep)
+	states, bad := explore(noFault, *maxDepth)
+	t.Logf("%d states to depth %d", states, *maxDepth)
 	assert.Empty(t, bad)
 	assert.Greater(t, states, 1000)
 }
 
-func TestExplorationFindsPlantedFaults(t *testing.T) {
-	for _, f := range []fault{noWait, notCounted} {
+func TestExplorationDetectsInjectedFaults(t *testing.T) {
+	for _, f := range []fault{noExpiryWait, grantsNotCounted} {
 		states, bad := explore(f, 4)
 		t.Logf("fault %d after %d states: %s", f, states, bad)
 		assert.NotEmpty(t, bad)
