--- a/internal/shares/table.go
+++ b/internal/shares/table.go
@@ -1,12 +1,13 @@
-// Package shares divides the limit of a destination among the senders of a fleet: one limit, however many of them call there.
+// Package shares divides the rate limit of a destination among the senders of a fleet, so that the limit holds for the total however many
+// of them call it.
 //
-// Each destination has a few electors, drawn by rendezvous hashing from the listed fleet. One of them is its owner while a majority of
-// them promises so for a time; two halves never both have a majority. The owner leases parts of the limit to the senders that need one:
-// a standing rate to busy ones, single calls to the others. Every lease ends by its holder's own clock, counted from when the holder
-// asked, and a new owner grants nothing until all that the last one granted has ended.
+// Each destination has a few voters, chosen from the listed fleet by rendezvous hashing. One of them owns the destination while a majority
+// of them votes for it; votes expire, and two sides of a partition never both have a majority. The owner leases parts of the limit to
+// senders with demand: a standing rate to busy ones, single calls to the others. Every lease expires by its holder's own clock, counted
+// from the holder's request, and a new owner grants nothing until all leases of the last one have expired.
 //
-// The package is pure: no I/O, no clock, no goroutine. Times are µs of the caller's monotonic clock. A Table is not safe for use by
-// several goroutines at once.
+// The package is pure: no I/O, no clock, no goroutine. Times are µs of the caller's monotonic clock. A Table is not safe for concurrent
+// use.
 package shares
 
 import (
@@ -21,59 +22,59 @@
 	"ravenlink/internal/post"
 )
 
-// Table is one sender's part in the limits of all destinations.
+// Table is one sender's share of the limits of all destinations.
 type Table struct {
-	self    string
-	listed  []string
-	list    uint32
-	t       Timing
-	born    int64 // first time heard of; 0 before
-	life    uint64
-	view    members.View
-	missing float64 // share of the listed fleet that may be cut off: reserved by owners
-	places  map[string]*place
-	order   []string // names of places, sorted: map order never decides
-	awake   []*place // those that the next tick looks at; emptied as they rest or are forgotten
-	resting dueHeap  // all others, by when one has to look at them again
-	looks   uint64   // places that ticks looked at
-	out     []post.Letter[Msg]
-	counts  Counts
+	self            string
+	listed          []string
+	listDigest      uint32
+	timing          Timing
+	startedAt       int64 // time of the first call; 0 before
+	runID           uint64
+	view            members.View
+	missingFraction float64 // fraction of the listed fleet that may be partitioned; owners reserve its fallback shares
+	destinations    map[string]*destination
+	names           []string       // keys of destinations, sorted, for a deterministic order
+	active          []*destination // those that the next tick visits; cleared as they are rescheduled or evicted
+	scheduled       dueHeap        // all others, by the time of their next visit
+	visits          uint64         // destinations visited by ticks
+	outbox          []post.PeerMessage[Msg]
+	counts          Counts
 }
 
-// Counts are what the table counts from its start.
+// Counts holds the counters since the start of the table.
 type Counts struct {
-	Unsound, Strange, Full uint64 // messages out of bounds, from a member not listed or of another list; destinations for which there was no room
+	Invalid, Foreign, Full uint64 // messages out of bounds; from unlisted members or with another list; destinations that did not fit
 	Owned                  uint64 // times that this sender became an owner
 	Lapsed                 uint64 // leases that ended while still needed
 }
 
-// place is a destination.
-type place struct {
-	dst      string
-	electors []string
-	rank     int // of this sender among the electors; -1 if it is none
-	limit    known
-	need     float64 // messages a second
-	waiting  int
-	used     int64 // last time that anything was asked of it
-	unled    int64 // since when the view misses a majority of the electors; 0 while it does not
-	hold     holding
-	vote     promise
-	seat     owning
+// destination is the state of one destination.
+type destination struct {
+	dst            string
+	voters         []string
+	rank           int // of this sender among the voters; -1 if it is none
+	limit          learnedLimit
+	demand         float64 // messages per second
+	waiting        int
+	lastUsed       int64 // last time of any demand or request
+	ownerlessSince int64 // since when the view reports a majority of the voters missing; 0 if it does not
+	lease          lease
+	vote           vote
+	owner          ownerState
 
-	due       int64 // while it rests: when a tick has to look at it, µs
-	slot      int   // in the heap of those that rest; awake while it does not
-	forgotten bool  // it is no longer in the table
+	nextVisit int64 // while scheduled: time of the next visit, µs
+	heapIndex int   // in the heap; notQueued while active
+	evicted   bool  // no longer in the table
 }
 
-// known is a limit with how and when it was learned.
-type known struct {
-	perSec float64
-	how    How
-	at     int64
+// learnedLimit is a limit with its source and the time when it was learned.
+type learnedLimit struct {
+	perSec    float64
+	source    LimitSource
+	learnedAt int64
 }
 
-// New gives a table for the sender self of the listed fleet.
+// New returns a table for the sender self of the listed fleet.
 func New(self string, listed []string, t Timing) *Table {
 	l := slices.Clone(listed)
 	slices.Sort(l)
@@ -82,306 +83,306 @@
 	for _, n := range l {
 		_, _ = d.WriteString(n + "\n")
 	}
-	return &Table{self: self, listed: l, list: uint32(d.Sum64()), t: t, places: map[string]*place{}}
+	return &Table{self: self, listed: l, listDigest: uint32(d.Sum64()), timing: t, destinations: map[string]*destination{}}
 }
 
-// Counts tells what was counted.
+// Counts returns the counters.
 func (t *Table) Counts() Counts { return t.counts }
 
-// View takes in how this sender sees the fleet. Its own incarnation, its folder and when it began mark its asks, so that answers to an
-// earlier life count for nothing, also where the folder was lost.
-func (t *Table) View(now int64, v members.View) {
-	t.begin(now)
-	t.view, t.missing = v, 0
+// SetView updates this sender's view of the fleet. Its own incarnation, its folder and its start time identify its requests, so that
+// answers to an earlier run are ignored even if the folder was lost.
+func (t *Table) SetView(now int64, v members.View) {
+	t.markStart(now)
+	t.view, t.missingFraction = v, 0
 	for _, m := range v.Members {
 		if m.Name == t.self {
-			t.life = lifeOf(m, t.born)
+			t.runID = newRunID(m, t.startedAt)
 		}
-		if m.State == members.Doubted || m.State == members.Gone {
-			t.missing += 1 / float64(max(1, len(t.listed)))
+		if m.State == members.Suspect || m.State == members.Dead {
+			t.missingFraction += 1 / float64(max(1, len(t.listed)))
 		}
 	}
-	t.missing = min(t.missing, 1)
-	for _, dst := range t.order {
-		p := t.places[dst]
-		was := p.unled
-		if t.see(now, p); p.unled != was {
-			t.wake(p)
+	t.missingFraction = min(t.missingFraction, 1)
+	for _, dst := range t.names {
+		d := t.destinations[dst]
+		was := d.ownerlessSince
+		if t.updateOwnerless(now, d); d.ownerlessSince != was {
+			t.activate(d)
 		}
 	}
 }
 
-// see takes in whether the view misses a majority of a destination's electors.
-func (t *Table) see(now int64, p *place) {
+// updateOwnerless records whether the view reports a majority of a destination's voters missing.
+func (t *Table) updateOwnerless(now int64, d *destination) {
 	n := 0
-	for _, e := range p.electors {
-		if m, ok := t.view.Member(e); ok && (m.State == members.Doubted || m.State == members.Gone) {
+	for _, voter := range d.voters {
+		if m, ok := t.view.Member(voter); ok && (m.State == members.Suspect || m.State == members.Dead) {
 			n++
 		}
 	}
 	switch {
-	case n <= len(p.electors)/2:
-		p.unled = 0
-	case p.unled == 0:
-		p.unled = now
+	case n <= len(d.voters)/2:
+		d.ownerlessSince = 0
+	case d.ownerlessSince == 0:
+		d.ownerlessSince = now
 	}
 }
 
-// lifeOf draws a mark from what differs between any two lives of a sender.
-func lifeOf(m members.Member, born int64) uint64 {
+// newRunID hashes the values that differ between any two runs of a sender.
+func newRunID(m members.Member, startedAt int64) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[:], m.Incarnation)
 	binary.LittleEndian.PutUint64(b[8:], m.Folder)
-	binary.LittleEndian.PutUint64(b[16:], uint64(born))
+	binary.LittleEndian.PutUint64(b[16:], uint64(startedAt))
 	return xxhash.Sum64(b[:]) >> 32
 }
 
-// Limit takes in a limit as this sender has just learned it, in calls a second. One of zero or below is none.
-func (t *Table) Limit(now int64, dst string, perSec float64, how How) {
-	t.begin(now)
-	if !(perSec > 0) || perSec > limitMost {
+// SetLimit sets a limit that this sender has just learned, in calls per second. Zero and negative values are ignored.
+func (t *Table) SetLimit(now int64, dst string, perSec float64, source LimitSource) {
+	t.markStart(now)
+	if !(perSec > 0) || perSec > maxLimit {
 		return
 	}
-	if p := t.place(now, dst); p != nil {
-		if p.learn(known{perSec, how, now}) {
-			t.wake(p)
+	if d := t.getOrCreate(now, dst); d != nil {
+		if d.updateLimit(learnedLimit{perSec, source, now}) {
+			t.activate(d)
 		}
 	}
 }
 
-// Need takes in what this sender wants to call at a destination: messages a second that come for it, and those that wait now.
-func (t *Table) Need(now int64, dst string, perSec float64, waiting int) {
-	t.begin(now)
-	p := t.places[dst]
-	if p == nil && (perSec > 0 || waiting > 0) {
-		p = t.place(now, dst)
+// SetDemand sets this sender's demand at a destination: the rate of incoming messages per second, and the number waiting now.
+func (t *Table) SetDemand(now int64, dst string, perSec float64, waiting int) {
+	t.markStart(now)
+	d := t.destinations[dst]
+	if d == nil && (perSec > 0 || waiting > 0) {
+		d = t.getOrCreate(now, dst)
 	}
-	if p == nil {
+	if d == nil {
 		return
 	}
 	if perSec > 0 || waiting > 0 {
-		p.used = now
+		d.lastUsed = now
 	}
-	p.hold.earn(now, t.rate(now, p))
-	p.need, p.waiting = math.Min(math.Max(perSec, 0), limitMost), max(waiting, 0)
-	t.wake(p)
+	d.lease.refill(now, t.rate(now, d))
+	d.demand, d.waiting = math.Min(math.Max(perSec, 0), maxLimit), max(waiting, 0)
+	t.activate(d)
 }
 
-// Unlimited tells that a destination is in the table without a limit, and that this sender needs little there: until a limit is learned or
-// an event comes, neither its share nor a small change of its need makes any difference.
+// Unlimited reports whether a destination is in the table without a limit and this sender's demand is small. Until a limit is learned or
+// another event occurs, neither its share nor a small change of demand has any effect.
 func (t *Table) Unlimited(dst string) bool {
-	p := t.places[dst]
-	return p != nil && p.limit.perSec == 0 && p.need < quantum
+	d := t.destinations[dst]
+	return d != nil && d.limit.perSec == 0 && d.demand < minRate
 }
 
-// Share tells what this sender may call at a destination, in calls a second, and until when without hearing more. Where no limit is known
-// it is infinite.
+// Share returns the rate in calls per second at which this sender may call a destination, and the time until which that holds without
+// further peer messages. Without a known limit it is infinite.
 func (t *Table) Share(now int64, dst string) (perSec float64, until int64) {
-	t.begin(now)
-	p := t.places[dst]
-	if p == nil || p.limit.perSec == 0 {
+	t.markStart(now)
+	d := t.destinations[dst]
+	if d == nil || d.limit.perSec == 0 {
 		return math.Inf(1), math.MaxInt64
 	}
-	t.move(now, p)
-	t.wake(p)
-	h := &p.hold
-	perSec = t.rate(now, p)
-	if h.phase != leased {
-		return perSec, now + t.t.Renew
+	t.updateStage(now, d)
+	t.activate(d)
+	l := &d.lease
+	perSec = t.rate(now, d)
+	if l.stage != leased {
+		return perSec, now + t.timing.Renew
 	}
-	if left := h.given - h.done; left > 0 {
-		perSec += float64(left) * 1e6 / float64(max(h.until-now, 1))
+	if left := l.granted - l.used; left > 0 {
+		perSec += float64(left) * 1e6 / float64(max(l.expiresAt-now, 1))
 	}
-	return perSec, h.until
+	return perSec, l.expiresAt
 }
 
-// Spend is asked right before a call's first byte: it tells whether the call may go, and takes it off the share.
-func (t *Table) Spend(now int64, dst string) bool {
-	t.begin(now)
-	p := t.places[dst]
-	if p == nil || p.limit.perSec == 0 {
+// Allow reports whether a call may start and deducts it from the share. Call it right before the first byte is sent.
+func (t *Table) Allow(now int64, dst string) bool {
+	t.markStart(now)
+	d := t.destinations[dst]
+	if d == nil || d.limit.perSec == 0 {
 		return true
 	}
-	t.move(now, p)
-	t.wake(p)
-	p.used = now
-	h := &p.hold
-	h.earn(now, t.rate(now, p))
+	t.updateStage(now, d)
+	t.activate(d)
+	d.lastUsed = now
+	l := &d.lease
+	l.refill(now, t.rate(now, d))
 	switch {
-	case h.phase == leased && h.given > h.done:
-		h.done++
-	case h.level >= 1:
-		h.level--
+	case l.stage == leased && l.granted > l.used:
+		l.used++
+	case l.tokens >= 1:
+		l.tokens--
 	default:
 		return false
 	}
 	return true
 }
 
-// Refused takes in that a destination refused a call for its limit. Refused calls may use it up, and a fleet that goes on at the very limit
-// would never be let in again: the owner gives out less for a moment.
-func (t *Table) Refused(now int64, dst string) {
-	t.begin(now)
-	if p := t.places[dst]; p != nil {
-		p.hold.refused = now
+// RecordRefusal records that a destination refused a call because of its limit. Refused calls may count against the limit, and a fleet that
+// stays right at it would never be admitted again, so the owner reduces its budget for a short time.
+func (t *Table) RecordRefusal(now int64, dst string) {
+	t.markStart(now)
+	if d := t.destinations[dst]; d != nil {
+		d.lease.refusedAt = now
 	}
 }
 
-// Floor is this sender's part of the floor of a destination's retry budget, in repeats a second: the design's, shared by all that may be
-// alive, but at least one repeat in the time for which credits live.
-func (t *Table) Floor(int64) float64 {
+// RetryFloor returns this sender's part of the floor of a destination's retry budget, in retries per second: the design's floor divided
+// among the members that may be alive, but at least one retry within the lifetime of retry credits.
+func (t *Table) RetryFloor(int64) float64 {
 	n := 0
 	for _, m := range t.view.Members {
-		if m.State == members.Alive || m.State == members.Doubted {
+		if m.State == members.Alive || m.State == members.Suspect {
 			n++
 		}
 	}
-	return max(floorLeast, floorDesign/float64(max(n, 1)))
+	return max(minRetryFloor, designRetryFloor/float64(max(n, 1)))
 }
 
-// Tick does what is due; it is called ten times a second or more often. It looks only at places that an event or time may have changed.
-func (t *Table) Tick(now int64) []post.Letter[Msg] {
-	t.begin(now)
-	for _, p := range t.takeDue(now) {
-		t.look(now, p)
+// Tick performs what is due. Call it at least ten times a second. It visits only destinations that an event or time may have changed.
+func (t *Table) Tick(now int64) []post.PeerMessage[Msg] {
+	t.markStart(now)
+	for _, d := range t.takeDue(now) {
+		t.visit(now, d)
 	}
-	t.rest(now)
-	return t.letters()
+	t.reschedule(now)
+	return t.takeOutbox()
 }
 
-// look does what is due at one place.
-func (t *Table) look(now int64, p *place) {
-	t.looks++
-	t.move(now, p)
-	t.reign(now, p)
-	t.ask(now, p)
-	t.serve(now, p, "")
-	t.forget(now, p)
+// visit performs what is due at one destination.
+func (t *Table) visit(now int64, d *destination) {
+	t.visits++
+	t.updateStage(now, d)
+	t.updateOwner(now, d)
+	t.sendRequest(now, d)
+	t.distribute(now, d, "")
+	t.evictIdle(now, d)
 }
 
-// Heard takes in what another sender told. A message that makes no sense changes nothing and is counted.
-func (t *Table) Heard(now int64, from string, m Msg) []post.Letter[Msg] {
-	t.begin(now)
+// Receive handles a peer message. An invalid message changes nothing and is counted.
+func (t *Table) Receive(now int64, from string, m Msg) []post.PeerMessage[Msg] {
+	t.markStart(now)
 	switch _, known := slices.BinarySearch(t.listed, from); {
-	case !m.sound():
-		t.counts.Unsound++
+	case !m.valid():
+		t.counts.Invalid++
 		return nil
-	case !known || from == t.self || m.List != t.list:
-		t.counts.Strange++
+	case !known || from == t.self || m.ListDigest != t.listDigest:
+		t.counts.Foreign++
 		return nil
 	}
-	p := t.places[m.Dst]
-	if p == nil {
-		if m.Kind != Ask && m.Kind != Stand {
+	d := t.destinations[m.Dst]
+	if d == nil {
+		if m.Kind != Request && m.Kind != VoteRequest {
 			return nil
 		}
-		if p = t.place(now, m.Dst); p == nil {
+		if d = t.getOrCreate(now, m.Dst); d == nil {
 			return nil
 		}
 	}
-	t.hear(now, p, from, m)
-	return t.letters()
+	t.dispatch(now, d, from, m)
+	return t.takeOutbox()
 }
 
-func (t *Table) hear(now int64, p *place, from string, m Msg) {
-	t.wake(p)
-	t.move(now, p)
-	t.reign(now, p)
-	if m.Limit > 0 && m.How > 0 {
-		p.learn(known{unit(m.Limit), m.How, now - m.Age})
+func (t *Table) dispatch(now int64, d *destination, from string, m Msg) {
+	t.activate(d)
+	t.updateStage(now, d)
+	t.updateOwner(now, d)
+	if m.Limit > 0 && m.LimitSource > 0 {
+		d.updateLimit(learnedLimit{fromMilli(m.Limit), m.LimitSource, now - m.LimitAge})
 	}
 	switch m.Kind {
-	case Ask:
-		p.used = now
-		t.asked(now, p, from, m)
+	case Request:
+		d.lastUsed = now
+		t.handleRequest(now, d, from, m)
 	case Grant:
-		t.granted(now, p, from, m)
+		t.handleGrant(now, d, from, m)
 	case Redirect:
-		t.redirected(now, p, from, m)
-	case Stand:
-		p.used = now
-		t.promise(now, p, from, m)
-	case Promise:
-		t.promised(now, p, from, m)
+		t.handleRedirect(now, d, from, m)
+	case VoteRequest:
+		d.lastUsed = now
+		t.handleVoteRequest(now, d, from, m)
+	case VoteGrant:
+		t.handleVoteGrant(now, d, from, m)
 	}
 }
 
-func (t *Table) begin(now int64) {
-	if t.born == 0 {
-		t.born = max(now, 1)
+func (t *Table) markStart(now int64) {
+	if t.startedAt == 0 {
+		t.startedAt = max(now, 1)
 	}
 }
 
-func (t *Table) send(to, slot string, p *place, m Msg) {
-	m.Dst, m.List = p.dst, t.list
-	t.out = append(t.out, post.Letter[Msg]{To: to, Slot: slot + p.dst, Msg: m})
+func (t *Table) send(to, slot string, d *destination, m Msg) {
+	m.Dst, m.ListDigest = d.dst, t.listDigest
+	t.outbox = append(t.outbox, post.PeerMessage[Msg]{To: to, Slot: slot + d.dst, Msg: m})
 }
 
-func (t *Table) letters() []post.Letter[Msg] {
-	out := t.out
-	t.out = nil
+func (t *Table) takeOutbox() []post.PeerMessage[Msg] {
+	out := t.outbox
+	t.outbox = nil
 	return out
 }
 
-// place finds a destination or makes room for one; nil where there is none.
-func (t *Table) place(now int64, dst string) *place {
-	if p := t.places[dst]; p != nil {
-		return p
+// getOrCreate returns a destination, creating it if needed, or nil if the table is full or the name is invalid.
+func (t *Table) getOrCreate(now int64, dst string) *destination {
+	if d := t.destinations[dst]; d != nil {
+		return d
 	}
-	if dst == "" || len(dst) > nameMost || len(t.places) >= placesMost {
+	if dst == "" || len(dst) > maxNameLen || len(t.destinations) >= maxDestinations {
 		t.counts.Full++
 		return nil
 	}
-	p := &place{dst: dst, electors: Electors(t.listed, dst), used: now, slot: awake}
-	p.rank = slices.Index(p.electors, t.self)
-	p.hold.start(now, xxhash.Sum64String(t.self+"\n"+dst))
-	t.see(now, p)
-	t.places[dst] = p
-	t.awake = append(t.awake, p)
-	i, _ := slices.BinarySearch(t.order, dst)
-	t.order = slices.Insert(t.order, i, dst)
-	return p
+	d := &destination{dst: dst, voters: Voters(t.listed, dst), lastUsed: now, heapIndex: notQueued}
+	d.rank = slices.Index(d.voters, t.self)
+	d.lease.start(now, xxhash.Sum64String(t.self+"\n"+dst))
+	t.updateOwnerless(now, d)
+	t.destinations[dst] = d
+	t.active = append(t.active, d)
+	i, _ := slices.BinarySearch(t.names, dst)
+	t.names = slices.Insert(t.names, i, dst)
+	return d
 }
 
-// forget drops a destination that nobody has asked for. It is awake, and leaves that list as the tick ends.
-func (t *Table) forget(now int64, p *place) {
-	if now-p.used < forgetAfter || p.waiting > 0 || p.vote.until > now || p.seat.phase != idle || p.hold.phase == leased {
+// evictIdle removes an unused destination. It is active and leaves that list at the end of the tick.
+func (t *Table) evictIdle(now int64, d *destination) {
+	if now-d.lastUsed < idleTimeout || d.waiting > 0 || d.vote.until > now || d.owner.phase != idle || d.lease.stage == leased {
 		return
 	}
-	p.forgotten = true
-	delete(t.places, p.dst)
-	i, _ := slices.BinarySearch(t.order, p.dst)
-	t.order = slices.Delete(t.order, i, i+1)
+	d.evicted = true
+	delete(t.destinations, d.dst)
+	i, _ := slices.BinarySearch(t.names, d.dst)
+	t.names = slices.Delete(t.names, i, i+1)
 }
 
-// learn takes in a limit: a better source counts for more, else the later one. The same value again does not make a fact younger. It tells
-// whether the limit or its source is new.
-func (p *place) learn(k known) bool {
-	o := p.limit
-	if o.perSec == 0 || k.how > o.how || k.how == o.how && k.perSec != o.perSec && k.at > o.at {
-		p.limit = k
+// updateLimit replaces the limit if the new one has a source of higher precedence, or the same source, another value and a later time.
+// Repeating a value does not refresh its age. It reports whether the limit or its source changed.
+func (d *destination) updateLimit(k learnedLimit) bool {
+	o := d.limit
+	if o.perSec == 0 || k.source > o.source || k.source == o.source && k.perSec != o.perSec && k.learnedAt > o.learnedAt {
+		d.limit = k
 		return true
 	}
 	return false
 }
 
-// Electors of a destination: the first few of the listed fleet by rendezvous hashing, an odd number, so that any two parts of a fleet
-// cut in two know which of them may own it.
-func Electors(listed []string, dst string) []string {
-	n := min(electorsMost, len(listed))
+// Voters returns the voters of a destination: an odd number of members of the listed fleet, chosen by rendezvous hashing, so that the two
+// sides of any partition know which of them may own it.
+func Voters(listed []string, dst string) []string {
+	n := min(maxVoters, len(listed))
 	if n > 0 && n%2 == 0 {
 		n--
 	}
-	type drawn struct {
-		name string
-		odds uint64
+	type scoredName struct {
+		name  string
+		score uint64
 	}
-	ds := make([]drawn, len(listed))
+	ds := make([]scoredName, len(listed))
 	for i, name := range listed {
-		ds[i] = drawn{name, xxhash.Sum64String(name + "\n" + dst)}
+		ds[i] = scoredName{name, xxhash.Sum64String(name + "\n" + dst)}
 	}
 	sort.Slice(ds, func(i, j int) bool {
-		return ds[i].odds > ds[j].odds || ds[i].odds == ds[j].odds && ds[i].name < ds[j].name
+		return ds[i].score > ds[j].score || ds[i].score == ds[j].score && ds[i].name < ds[j].name
 	})
 	es := make([]string, n)
 	for i := range es {
--- a/internal/shares/timing.go
+++ b/internal/shares/timing.go
@@ -2,73 +2,73 @@
 
 import "math"
 
-// Constants of the module, each with its reason.
+// The constants of the protocol, each with its reason.
 const (
-	electorsMost = 5          // who may vote on the owner of a destination: two may be down, and the owner's renewals stay cheap at 1,000 senders
-	quantum      = 8.0        // calls a second: a standing rate below it would let many senders save up one call each; they get single calls instead
-	ahead        = 0.5        // s of the limit that may be out as single calls not yet told spent: a round trip, a turn, a letter lost
-	saved        = 0.2        // s of the limit that an owner saves up while nobody asks
-	aheadLeast   = 2.0        // calls of that at least, so that small limits are not served one round trip at a time
-	keepRate     = 0.75       // of the quantum: a standing rate stays until its need is below that
-	depthTime    = 0.05       // s of its rate that a lease may save up, beyond one call
-	thinMost     = 0.25       // of the limit goes first to senders that need less than a standing rate: a backlog elsewhere starves none of them
-	drainTime    = 1.0        // s within which what waits should go: turns a backlog into a rate
-	headroom     = 1.25       // a lease's rate over its need, while the limit has room
-	turnMost     = 4          // single calls given in one turn at most, then the next sender's turn comes
-	doubtShare   = 0.5        // of an even share: for senders that no owner answers; new owners and views of a cut keep it back
-	askGap       = 50_000     // µs between two asks for one destination at least
-	refusedCut   = 0.8        // of the budget while a refusal is news: what is out of step with a destination's own count has to be paid back
-	refusedFor   = 1_000_000  // µs from a refusal until the budget is whole again, and between two cuts
-	wholeFrom    = 1.0 / 3    // of the fleet: a larger part that is cut from the electors' majority gets whole even shares, not half
-	askAll       = 8          // unanswered asks of which one goes to all electors
-	forgetAfter  = 60_000_000 // µs without need, lease or ask until a destination is forgotten
-	placesMost   = 4096       // destinations in the table
-	nameMost     = 256        // bytes of a destination's or a member's name
-	limitMost    = 1e7        // calls a second; a greater limit is no limit
-	floorDesign  = 3.0        // repeats a second a destination, as the design has it for one sender
-	floorLeast   = 0.1        // repeats a second: one in the 10 s for which the design's credits live
+	maxVoters        = 5          // two may be down, and the owner's renewals stay cheap at 1,000 senders
+	minRate          = 8.0        // calls/s: lower standing rates would let many senders each save up a call; they get single calls instead
+	outstandingTime  = 0.5        // s of the limit that may be outstanding as single calls: covers a round trip, a turn and a lost message
+	savedTime        = 0.2        // s of the limit that an owner saves up while there are no requests
+	minOutstanding   = 2.0        // calls, at least, so that small limits are not served one round trip at a time
+	keepFraction     = 0.75       // of minRate: an existing standing rate stays until the target falls below that
+	burstTime        = 0.05       // s of its rate that a lease may save up, beyond one call
+	maxSmallShare    = 0.25       // of the limit goes first to senders below a standing rate, so that a backlog elsewhere does not starve them
+	drainTime        = 1.0        // s within which waiting messages should be sent: converts a backlog into a rate
+	headroom         = 1.25       // ratio of a lease's rate to the demand, while the limit has room
+	maxCallsPerTurn  = 4          // single calls granted in one turn at most, before the next sender's turn
+	fallbackShare    = 0.5        // of an even share, for senders that no owner answers; reserved by new owners and when the view shows a partition
+	minRequestGap    = 50_000     // µs, at least, between two requests for one destination
+	refusalFactor    = 0.8        // of the budget after a refusal: calls beyond the destination's own count have to be made up for
+	refusalPeriod    = 1_000_000  // µs after a refusal until the full budget is restored, and between two reductions
+	fullShareFrom    = 1.0 / 3    // of the fleet: a larger part that is partitioned from the voters' majority gets full even shares, not half
+	broadcastEvery   = 8          // one in this many unanswered requests goes to all voters
+	idleTimeout      = 60_000_000 // µs without demand, lease or request until a destination is evicted
+	maxDestinations  = 4096       // in the table
+	maxNameLen       = 256        // bytes of a destination's or a member's name
+	maxLimit         = 1e7        // calls/s; a greater limit counts as none
+	designRetryFloor = 3.0        // retries/s per destination, as designed for one sender
+	minRetryFloor    = 0.1        // retries/s: one in the 10 s for which the design's credits live
 )
 
-// Timing holds the times of the module, in µs.
+// Timing holds the protocol's durations, in µs.
 type Timing struct {
-	Lease  int64 // how long a lease runs from when it was asked for
-	Vote   int64 // how long an elector's promise to an owner runs from when it was asked for
-	Renew  int64 // between two askings for the same lease or promise
-	Detect int64 // within which the view doubts a member that is cut off
-	Drift  int64 // parts of a million by which any clock may run fast or slow
+	Lease  int64 // how long a lease runs, from the request
+	Vote   int64 // how long a vote for an owner runs, from the request
+	Renew  int64 // interval between requests for the same lease or vote
+	Detect int64 // within which the view suspects a partitioned member
+	Drift  int64 // parts per million by which any clock may run fast or slow
 }
 
-// Usual gives the times for links within one place (round trips up to a quarter of a second).
-func Usual() Timing {
+// DefaultTiming returns the timing for links within one site (round trips up to a quarter of a second).
+func DefaultTiming() Timing {
 	return Timing{Lease: 2_000_000, Vote: 1_500_000, Renew: 500_000, Detect: 3_000_000, Drift: 500}
 }
 
-// short is a time as the one counts it that has to be done first: two clocks, each off by the drift, one fast and one slow.
-func (t Timing) short(d int64) int64 { return d - d*2*t.Drift/1_000_000 }
+// minusDrift shortens a duration for the party that must finish first: its clock may be slow and the other's fast, each by the drift.
+func (t Timing) minusDrift(d int64) int64 { return d - d*2*t.Drift/1_000_000 }
 
-// long is a time as the one counts it that has to outwait the other.
-func (t Timing) long(d int64) int64 { return d + d*2*t.Drift/1_000_000 }
+// plusDrift lengthens a duration for the party that must wait until the other has finished.
+func (t Timing) plusDrift(d int64) int64 { return d + d*2*t.Drift/1_000_000 }
 
-// doubtAfter is how long asks stay unanswered until a sender goes on with its doubt share: two asks and their answers.
-func (t Timing) doubtAfter() int64 { return 2 * t.Renew }
+// fallbackAfter is how long requests stay unanswered before a sender uses its fallback share: two requests and their answers.
+func (t Timing) fallbackAfter() int64 { return 2 * t.Renew }
 
-// stagger is the time that each elector leaves the one before it to stand for owner: two askings of the electors and their answers.
+// stagger is the time that each voter leaves the one ahead of it to become owner: two vote requests and their answers.
 func (t Timing) stagger() int64 { return t.Renew }
 
-// ahead of a limit: single calls that may be out.
-func aheadOf(limit float64) float64 { return max(aheadLeast, ahead*limit) }
+// maxOutstanding is the number of single calls of a limit that may be outstanding.
+func maxOutstanding(limit float64) float64 { return max(minOutstanding, outstandingTime*limit) }
 
-// savedOf a limit: single calls that an owner keeps ready.
-func savedOf(limit float64) float64 { return max(aheadLeast, saved*limit) }
+// maxSaved is the number of single calls of a limit that an owner may save up.
+func maxSaved(limit float64) float64 { return max(minOutstanding, savedTime*limit) }
 
-// cutSeen is how long after a sender's view of a cut the views of all others have it, and leases given before have ended.
-func (t Timing) cutSeen() int64 { return t.long(t.Detect + t.Lease) }
+// partitionDelay is the time from a sender's view showing a partition until all views show it and earlier leases have expired.
+func (t Timing) partitionDelay() int64 { return t.plusDrift(t.Detect + t.Lease) }
 
-// depthOf is what a lease of a rate may save up, in calls.
-func depthOf(rate float64) float64 { return 1 + rate*depthTime }
+// bucketDepth is the number of calls that a lease with the given rate may save up.
+func bucketDepth(rate float64) float64 { return 1 + rate*burstTime }
 
-// Burst is what may come on top of the limit in any window, in calls, while every sender that needs a share hears an owner: single calls
-// out, one call of each standing lease (of which there are at most limit/(quantum x keepRate)) and what leases save up.
+// Burst is the maximum number of calls above the limit in any window, while every sender with demand hears from an owner: outstanding
+// single calls, one call of each standing lease (at most limit/(minRate*keepFraction) of them) and what leases save up.
 func Burst(limit float64) float64 {
-	return aheadOf(limit) + math.Floor(limit/(quantum*keepRate)) + limit*depthTime
+	return maxOutstanding(limit) + math.Floor(limit/(minRate*keepFraction)) + limit*burstTime
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -9,131 +9,132 @@
 	"ravenlink/internal/startup"
 )
 
-const anyNumber = 1 << 30 // messages in a call, as far as the kinds allow
+const unlimitedBatch = 1 << 30 // messages in one call, where the kind has no limit
 
-// instance is one sender's module and the actions it has taken in this batch.
+// instance is the module of one sender and the actions it has taken in this batch.
 type instance struct {
 	sender  *choice.Sender
-	number  int64
-	lanes   int
+	id      int64
+	classes int
 	actions []byte
 }
 
-// start reads the settings into a module of its own.
-func start(f gjson.Result) *instance {
+// newInstance creates a module from its settings.
+func newInstance(f gjson.Result) *instance {
 	c := f.Get("config")
-	t := &instance{number: f.Get("sender").Int(), lanes: len(startup.LaneNames(c))}
-	t.sender = startup.Sender(t, f.Get("nonce64").Uint(), c, anyNumber)
+	t := &instance{id: f.Get("sender").Int(), classes: len(startup.ClassNames(c))}
+	t.sender = startup.NewSender(t, f.Get("nonce64").Uint(), c, unlimitedBatch)
 	return t
 }
 
-func (t *instance) report(h gjson.Result) choice.Report {
+func (t *instance) parseReport(h gjson.Result) choice.RateLimit {
 	if !h.IsObject() {
-		return choice.Report{}
+		return choice.RateLimit{}
 	}
-	return choice.Report{Told: true, ShareLeft: h.Get("x0").Float(), LimitPerSec: h.Get("x1").Float()}
+	return choice.RateLimit{Known: true, RemainingShare: h.Get("x0").Float(), LimitPerSec: h.Get("x1").Float()}
 }
 
-// begin opens an action; millis and end add to it. Each starts with a comma.
-func (t *instance) begin(name string) {
+// beginAction opens an action, the add methods append fields and endAction closes it. Each part starts with a
+// comma.
+func (t *instance) beginAction(name string) {
 	t.actions = append(append(append(t.actions, `,{"`...), name...), `":{"sender":`...)
-	t.actions = strconv.AppendInt(t.actions, t.number, 10)
+	t.actions = strconv.AppendInt(t.actions, t.id, 10)
 }
 
-func (t *instance) text(name, v string) {
+func (t *instance) addString(name, v string) {
 	t.actions = append(append(append(t.actions, `,"`...), name...), `":`...)
 	t.actions = gjson.AppendJSONString(t.actions, v)
 }
 
-func (t *instance) whole(name string, v uint64) {
+func (t *instance) addUint(name string, v uint64) {
 	t.actions = append(append(append(t.actions, `,"`...), name...), `":`...)
 	t.actions = strconv.AppendUint(t.actions, v, 10)
 }
 
-func (t *instance) millis(name string, us int64) {
+func (t *instance) addMillis(name string, us int64) {
 	t.actions = append(append(append(t.actions, `,"`...), name...), `":`...)
 	t.actions = strconv.AppendFloat(t.actions, float64(us)/1000, 'f', -1, 64)
 }
 
-func (t *instance) end() { t.actions = append(t.actions, "}}"...) }
+func (t *instance) endAction() { t.actions = append(t.actions, "}}"...) }
 
-// Send and the methods below are the module's Host.
+// Send and the methods below implement the module's Host.
 func (t *instance) Send(msg string, receiver uint32, patience int64) {
-	t.begin("submit_to")
-	t.text("id", msg)
-	t.millis("patience", patience)
-	t.whole("receiver", uint64(receiver))
-	t.end()
+	t.beginAction("submit_to")
+	t.addString("id", msg)
+	t.addMillis("patience", patience)
+	t.addUint("receiver", uint64(receiver))
+	t.endAction()
 }
 
-// Cancel calls off one leg.
+// Cancel cancels one leg.
 func (t *instance) Cancel(msg string, leg int) {
-	t.begin("drop_attempt")
-	t.text("id", msg)
-	t.whole("attempt", uint64(leg))
-	t.end()
+	t.beginAction("drop_attempt")
+	t.addString("id", msg)
+	t.addUint("attempt", uint64(leg))
+	t.endAction()
 }
 
-// PushBack ends a message unharmed.
-func (t *instance) PushBack(msg string, comeBackIn int64) {
-	t.begin("refuse")
-	t.text("id", msg)
+// Reject rejects a message.
+func (t *instance) Reject(msg string, comeBackIn int64) {
+	t.beginAction("refuse")
+	t.addString("id", msg)
 	if comeBackIn > 0 {
-		t.millis("hold_off", comeBackIn)
+		t.addMillis("hold_off", comeBackIn)
 	}
-	t.end()
+	t.endAction()
 }
 
-// Fail ends a message with no promise.
+// Fail ends a message as failed.
 func (t *instance) Fail(msg string) {
-	t.begin("lose")
-	t.text("id", msg)
-	t.end()
+	t.beginAction("lose")
+	t.addString("id", msg)
+	t.endAction()
 }
 
-// Timer asks for a ring.
-func (t *instance) Timer(in int64, token uint64) {
-	t.begin("remind")
-	t.millis("from_now", in)
-	t.whole("nonce", token)
-	t.end()
+// SetTimer requests a timer event.
+func (t *instance) SetTimer(in int64, token uint64) {
+	t.beginAction("remind")
+	t.addMillis("from_now", in)
+	t.addUint("nonce", token)
+	t.endAction()
 }
 
-// Probe checks a receiver.
+// Probe requests a probe of a receiver.
 func (t *instance) Probe(receiver uint32) {
-	t.begin("ping")
-	t.whole("receiver", uint64(receiver))
-	t.end()
+	t.beginAction("ping")
+	t.addUint("receiver", uint64(receiver))
+	t.endAction()
 }
 
-// CloseIdle shuts idle connections to a receiver.
+// CloseIdle closes the idle connections to a receiver.
 func (t *instance) CloseIdle(receiver uint32) {
-	t.begin("hang_up")
-	t.whole("receiver", uint64(receiver))
-	t.end()
+	t.beginAction("hang_up")
+	t.addUint("receiver", uint64(receiver))
+	t.endAction()
 }
 
-// Note tells every fellow sender something.
-func (t *instance) Note(text string) {
-	t.begin("write_peer")
-	t.text("target", "all")
-	t.text("blob", text)
-	t.end()
+// Broadcast sends a note to all peers.
+func (t *instance) Broadcast(text string) {
+	t.beginAction("write_peer")
+	t.addString("target", "all")
+	t.addString("blob", text)
+	t.endAction()
 }
 
-// Subscribe asks for changes of the list.
+// Subscribe requests updates of the list.
 func (t *instance) Subscribe() {
-	t.begin("listen")
+	t.beginAction("listen")
 	t.actions = append(t.actions, `,"enable":true`...)
-	t.end()
+	t.endAction()
 }
 
-// Log writes a line for people.
+// Log writes a log line.
 func (t *instance) Log(text string) {
-	t.begin("print")
-	t.text("what", text)
-	t.end()
+	t.beginAction("print")
+	t.addString("what", text)
+	t.endAction()
 }
 
-// Saw tells nobody: here fellows hear notes alone.
-func (t *instance) Saw(choice.Sight) {}
+// Share does nothing: in the bench, peers receive notes only.
+func (t *instance) Share(choice.Observation) {}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the bench's wire: it decodes each field straight into a call on the decision module
-// and appends each action to the reply. The wire's names end here.
+// Package simwire implements the bench's wire protocol: it decodes each event into a call of the decision
+// module and appends each action to the reply. Names on the wire do not appear outside this package.
 package simwire
 
 import (
@@ -14,24 +14,25 @@
 	"ravenlink/internal/startup"
 )
 
-const longestLine = 1 << 30 // bytes; batches may run to megabytes
+const maxLineSize = 1 << 30 // bytes; batches can take megabytes
 
-// wire holds the instances of one process, and the process-wide lists that their events refer to.
-type wire struct {
+// adapter holds the instances of one process and the tables, shared by all of them, that their events refer
+// to.
+type adapter struct {
 	senders map[int64]*instance
-	turn    []*instance // with an event in this batch, by first event
-	sheets  [16]gjson.Result
+	active  []*instance // instances with an event in this batch, in the order of their first event
+	tables  [16]gjson.Result
 	errs    io.Writer
 }
 
 // Run answers batches until the input ends.
 func Run(in io.Reader, out, errs io.Writer) error {
-	w := &wire{senders: map[int64]*instance{}, errs: errs}
+	w := &adapter{senders: map[int64]*instance{}, errs: errs}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 0, 1<<20), longestLine)
+	lines.Buffer(make([]byte, 0, 1<<20), maxLineSize)
 	var reply []byte
 	for n := 1; lines.Scan(); n++ {
-		reply = w.batch(reply[:0], lines.Bytes(), n)
+		reply = w.handleBatch(reply[:0], lines.Bytes(), n)
 		if _, err := out.Write(reply); err != nil {
 			return err
 		}
@@ -39,31 +40,31 @@
 	return lines.Err()
 }
 
-// batch answers one line. What is malformed is named on the error stream and left out of account.
-func (w *wire) batch(reply, line []byte, n int) []byte {
-	clear(w.turn)
-	w.turn = w.turn[:0]
-	b := gjson.ParseBytes(line) // copies the line, so lists may be kept
+// handleBatch answers one line. Invalid events are reported on the error stream and skipped.
+func (w *adapter) handleBatch(reply, line []byte, n int) []byte {
+	clear(w.active)
+	w.active = w.active[:0]
+	b := gjson.ParseBytes(line) // copies the line, so tables may retain parts of it
 	moment, events := b.Get("moment"), b.Get("arrivals")
 	switch {
 	case !gjson.ValidBytes(line):
-		w.complain(n, "not a JSON value")
+		w.logInvalid(n, "not a JSON value")
 	case moment.Type != gjson.Number:
-		w.complain(n, "no clock in moment")
+		w.logInvalid(n, "no clock in moment")
 	case !events.IsArray():
-		w.complain(n, "no array in arrivals")
+		w.logInvalid(n, "no array in arrivals")
 	default:
 		now, i := startup.Micros(moment), 0
 		events.ForEach(func(_, ev gjson.Result) bool {
-			if err := w.event(now, ev); err != nil {
-				w.complain(n, fmt.Sprintf("event %d: %v", i, err))
+			if err := w.handleEvent(now, ev); err != nil {
+				w.logInvalid(n, fmt.Sprintf("event %d: %v", i, err))
 			}
 			i++
 			return true
 		})
 	}
 	reply = append(reply, `{"output":[`...)
-	for _, t := range w.turn {
+	for _, t := range w.active {
 		t.sender.Decide()
 		if len(t.actions) > 0 {
 			reply = append(append(reply, t.actions[1:]...), ',') // each action starts with a comma
@@ -76,10 +77,12 @@
 	return append(reply, "]}\n"...)
 }
 
-func (w *wire) complain(n int, what string) { fmt.Fprintf(w.errs, "adapter: line %d: %s\n", n, what) }
+func (w *adapter) logInvalid(n int, what string) {
+	fmt.Fprintf(w.errs, "adapter: line %d: %s\n", n, what)
+}
 
-// need names the first of the fields that is absent or null.
-func need(f gjson.Result, names ...string) error {
+// requireFields returns an error for the first field that is absent or null.
+func requireFields(f gjson.Result, names ...string) error {
 	for _, name := range names {
 		if v := f.Get(name); !v.Exists() || v.Type == gjson.Null {
 			return fmt.Errorf("%s is missing", name)
@@ -88,7 +91,7 @@
 	return nil
 }
 
-func (w *wire) event(now int64, ev gjson.Result) (err error) {
+func (w *adapter) handleEvent(now int64, ev gjson.Result) (err error) {
 	name, f, count := "", gjson.Result{}, 0
 	ev.ForEach(func(k, v gjson.Result) bool {
 		name, f = k.String(), v
@@ -100,15 +103,15 @@
 	}
 	switch name {
 	case "sheet":
-		return w.sheet(f)
+		return w.setTable(f)
 	case "hello":
-		return w.hello(now, f)
+		return w.addSender(now, f)
 	}
-	needed, known := fields[name]
+	needed, known := requiredFields[name]
 	if !known {
 		return fmt.Errorf("%q is no event known here", name)
 	}
-	if err := need(f, needed...); err != nil {
+	if err := requireFields(f, needed...); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	t := w.senders[f.Get("sender").Int()]
@@ -116,22 +119,22 @@
 		return fmt.Errorf("%s: no sender %s", name, f.Get("sender").Raw)
 	}
 	if name == "halt" {
-		delete(w.senders, t.number)
-		w.turn = slices.DeleteFunc(w.turn, func(o *instance) bool { return o == t })
+		delete(w.senders, t.id)
+		w.active = slices.DeleteFunc(w.active, func(o *instance) bool { return o == t })
 		return nil
 	}
-	if !slices.Contains(w.turn, t) {
-		w.turn = append(w.turn, t)
+	if !slices.Contains(w.active, t) {
+		w.active = append(w.active, t)
 	}
-	t.sender.At(now)
-	if err := w.tell(t, name, f); err != nil {
+	t.sender.SetTime(now)
+	if err := w.dispatch(t, name, f); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
 }
 
-// fields lists what an event cannot do without.
-var fields = map[string][]string{
+// requiredFields lists the mandatory fields of each event.
+var requiredFields = map[string][]string{
 	"halt":      {"sender"},
 	"members":   {"sender", "form"},
 	"arrival":   {"sender", "id", "cls", "expires", "receiver_no"},
@@ -143,39 +146,39 @@
 	"memo":      {"sender"},
 }
 
-func (w *wire) sheet(f gjson.Result) error {
-	if err := need(f, "table", "lines"); err != nil {
+func (w *adapter) setTable(f gjson.Result) error {
+	if err := requireFields(f, "table", "lines"); err != nil {
 		return fmt.Errorf("sheet: %w", err)
 	}
 	n := f.Get("table").Int()
-	if n < 0 || n >= int64(len(w.sheets)) {
+	if n < 0 || n >= int64(len(w.tables)) {
 		return fmt.Errorf("sheet: table %d is out of range", n)
 	}
-	w.sheets[n] = f.Get("lines")
+	w.tables[n] = f.Get("lines")
 	return nil
 }
 
-func (w *wire) hello(now int64, f gjson.Result) error {
-	if err := need(f, "sender", "nonce64", "config"); err != nil {
+func (w *adapter) addSender(now int64, f gjson.Result) error {
+	if err := requireFields(f, "sender", "nonce64", "config"); err != nil {
 		return fmt.Errorf("hello: %w", err)
 	}
-	t := start(f)
-	if old := w.senders[t.number]; old != nil {
-		w.turn = slices.DeleteFunc(w.turn, func(o *instance) bool { return o == old })
+	t := newInstance(f)
+	if old := w.senders[t.id]; old != nil {
+		w.active = slices.DeleteFunc(w.active, func(o *instance) bool { return o == old })
 	}
-	w.senders[t.number] = t
-	w.turn = append(w.turn, t)
-	t.sender.At(now)
+	w.senders[t.id] = t
+	w.active = append(w.active, t)
+	t.sender.SetTime(now)
 	return nil
 }
 
 var outcomes = map[string]choice.Outcome{
-	"done": choice.Delivered, "err": choice.Errored, "busy": choice.Full, "etimedout": choice.TimedOut,
+	"done": choice.Delivered, "err": choice.Errored, "busy": choice.Refused, "etimedout": choice.TimedOut,
 	"econnrefused": choice.ConnectFailed, "econnreset": choice.Reset, "ecanceled": choice.Cancelled,
-	"skipped": choice.Skipped,
+	"skipped": choice.NotSent,
 }
 
-func outcome(f gjson.Result) (choice.Outcome, error) {
+func parseOutcome(f gjson.Result) (choice.Outcome, error) {
 	o, known := outcomes[f.Get("verdict").String()]
 	if !known {
 		return o, fmt.Errorf("outcome %s is not known here", f.Get("verdict").Raw)
@@ -183,62 +186,62 @@
 	return o, nil
 }
 
-var forms = []choice.ListForm{choice.Changes, choice.Whole, choice.Remembered, choice.LookupFailed}
+var listForms = []choice.ListKind{choice.Delta, choice.Snapshot, choice.Cached, choice.LookupFailed}
 
-// tell passes one event on to the module.
-func (w *wire) tell(t *instance, name string, f gjson.Result) error {
+// dispatch passes one event to the module.
+func (w *adapter) dispatch(t *instance, name string, f gjson.Result) error {
 	s, id := t.sender, f.Get("id").String()
 	switch name {
 	case "members":
-		return w.members(t, f)
+		return w.updateMembers(t, f)
 	case "arrival":
-		lane := f.Get("cls").Int()
-		if lane < 0 || lane >= int64(t.lanes) {
-			return fmt.Errorf("no lane %d", lane)
+		class := f.Get("cls").Int()
+		if class < 0 || class >= int64(t.classes) {
+			return fmt.Errorf("no lane %d", class)
 		}
 		key, to := f.Get("partition_key").String(), f.Get("receiver_no").Int()
-		s.Take(id, int(lane), key, to, startup.Micros(f.Get("expires")))
+		s.Accept(id, int(class), key, to, startup.Micros(f.Get("expires")))
 	case "ack_first":
-		s.Began(id)
+		s.StreamStarted(id)
 	case "settled":
-		o, err := outcome(f)
+		o, err := parseOutcome(f)
 		if err != nil {
 			return err
 		}
 		wait := int64(0)
-		if o == choice.Full {
+		if o == choice.Refused {
 			wait = f.Get("detail").Int() * 1000
 		}
 		number, final := int(f.Get("attempt").Int()), f.Get("final").Bool()
-		s.Settled(id, number, o, wait, final, t.report(f.Get("health_info")))
+		s.LegEnded(id, number, o, wait, final, t.parseReport(f.Get("health_info")))
 	case "hangup":
-		s.Withdrawn(id)
+		s.Withdraw(id)
 	case "bell":
-		s.Rang(f.Get("nonce").Uint())
+		s.TimerFired(f.Get("nonce").Uint())
 	case "memo":
-		s.Noted(f.Get("blob").String())
+		s.ReceiveNote(f.Get("blob").String())
 	case "pong":
-		o, err := outcome(f)
+		o, err := parseOutcome(f)
 		if err != nil {
 			return err
 		}
-		s.Probed(uint32(f.Get("receiver").Uint()), o, t.report(f.Get("health_info")))
+		s.ProbeEnded(uint32(f.Get("receiver").Uint()), o, t.parseReport(f.Get("health_info")))
 	}
 	return nil
 }
 
-func (w *wire) members(t *instance, f gjson.Result) error {
+func (w *adapter) updateMembers(t *instance, f gjson.Result) error {
 	form := f.Get("form").Int()
-	if form < 0 || form >= int64(len(forms)) {
+	if form < 0 || form >= int64(len(listForms)) {
 		return fmt.Errorf("form %d is not known here", form)
 	}
 	var entries []choice.Entry
-	if forms[form] != choice.LookupFailed {
+	if listForms[form] != choice.LookupFailed {
 		n := f.Get("table").Int()
-		if n < 0 || n >= int64(len(w.sheets)) || !w.sheets[n].Exists() {
+		if n < 0 || n >= int64(len(w.tables)) || !w.tables[n].Exists() {
 			return fmt.Errorf("no sheet %d", n)
 		}
-		w.sheets[n].ForEach(func(_, e gjson.Result) bool {
+		w.tables[n].ForEach(func(_, e gjson.Result) bool {
 			entries = append(entries, choice.Entry{
 				Receiver: uint32(e.Get("receiver").Uint()), Dst: e.Get("belongs_to").Int(),
 				Kind: int(e.Get("type").Int()), Zone: int(e.Get("zone").Int()),
@@ -247,6 +250,6 @@
 			return true
 		})
 	}
-	t.sender.Listed(forms[form], entries)
+	t.sender.UpdateList(listForms[form], entries)
 	return nil
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -30,8 +30,8 @@
 	return `{"moment":1000.25,"arrivals":[` + strings.Join(events, ",") + `]}`
 }
 
-// talk feeds lines and returns the replies and what was complained of.
-func talk(t *testing.T, lines ...string) ([]string, string) {
+// runLines runs the adapter on lines and returns its replies and its error output.
+func runLines(t *testing.T, lines ...string) ([]string, string) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	assert.NoError(t, Run(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out, &errs))
@@ -43,8 +43,8 @@
 	return replies, errs.String()
 }
 
-func TestMessageComesInAndGoesOut(t *testing.T) {
-	replies, errs := talk(t, batch(), batch(hello, sheet(0, 4294967295), arrival("00ff")))
+func TestArrivalIsSent(t *testing.T) {
+	replies, errs := runLines(t, batch(), batch(hello, sheet(0, 4294967295), arrival("00ff")))
 	assert.Empty(t, errs)
 	assert.Equal(t, `{"output":[]}`, replies[0])
 	send := gjson.Get(replies[1], "output.0.submit_to")
@@ -54,18 +54,18 @@
 }
 
 func TestReusedListNumbersGoByEventOrder(t *testing.T) {
-	replies, _ := talk(t, batch(hello, sheet(4, 1), sheet(4, 2), arrival("aa")))
+	replies, _ := runLines(t, batch(hello, sheet(4, 1), sheet(4, 2), arrival("aa")))
 	assert.EqualValues(t, 2, gjson.Get(replies[0], "output.0.submit_to.receiver").Uint())
 }
 
-func TestKilledSenderActsNoMore(t *testing.T) {
-	replies, errs := talk(t, batch(hello, sheet(0, 1), arrival("aa"), `{"halt":{"sender":3}}`),
+func TestHaltedSenderTakesNoAction(t *testing.T) {
+	replies, errs := runLines(t, batch(hello, sheet(0, 1), arrival("aa"), `{"halt":{"sender":3}}`),
 		batch(hello, sheet(0, 1)), batch(arrival("bb"), `{"halt":{"sender":3}}`, hello, sheet(0, 1)))
 	assert.Empty(t, errs)
 	assert.Equal(t, []string{`{"output":[]}`, `{"output":[]}`, `{"output":[]}`}, replies)
 }
 
-func TestWhatIsMalformedIsNamedAndLeftOut(t *testing.T) {
+func TestMalformedEventsAreReportedAndSkipped(t *testing.T) {
 	for line, complaint := range map[string]string{
 		`{"moment":`:      "line 2: not a JSON value",
 		`{"arrivals":[]}`: "line 2: no clock in moment",
@@ -75,20 +75,20 @@
 		batch(`{"members":{"sender":3,"form":1,"table":9}}`):                    "event 0: members: no sheet 9",
 		batch(`{"settled":{"sender":3,"id":"aa","verdict":"odd","attempt":0}}`): `outcome "odd" is not known here`,
 	} {
-		replies, errs := talk(t, batch(hello, sheet(0, 1)), line)
+		replies, errs := runLines(t, batch(hello, sheet(0, 1)), line)
 		assert.Contains(t, errs, complaint)
 		assert.Equal(t, strings.Contains(line, `"aa","cls"`), strings.Contains(replies[1], "submit_to"), "the rest still counts")
 	}
 }
 
-func TestLongBatchAndTimesAtTheEdge(t *testing.T) {
+func TestLongBatchAndTimeRounding(t *testing.T) {
 	events := []string{hello, sheet(0, 1)}
 	for i := range 5000 {
 		events = append(events, arrival(fmt.Sprintf("%016x", i)))
 	}
-	replies, errs := talk(t, batch(events...))
+	replies, errs := runLines(t, batch(events...))
 	assert.Empty(t, errs)
 	assert.NotEmpty(t, gjson.Get(replies[0], "output.#.refuse.id").Array())
 	assert.EqualValues(t, 1000250, startup.Micros(gjson.Parse("1000.25")))
-	assert.EqualValues(t, 1, startup.Span(gjson.Parse("0.0000001")), "never 0, which means no limit")
+	assert.EqualValues(t, 1, startup.PositiveMicros(gjson.Parse("0.0000001")), "never 0, which means no limit")
 }
--- a/internal/spool/backlog.go
+++ b/internal/spool/backlog.go
@@ -9,181 +9,184 @@
 )
 
 const (
-	never       = int64(math.MaxInt64) // µs since 1970
-	mostKeys    = 1 << 20              // distinct order keys spilled, about 40 bytes each; emptied as messages are loaded
-	maxInt      = math.MaxInt
-	mostDamaged = 64 // kept until the next load tells them
+	noExpiry        = int64(math.MaxInt64) // µs since 1970
+	maxOrderKeys    = 1 << 20              // distinct order keys of spilled messages, about 40 bytes each; they go as messages are loaded
+	maxInt          = math.MaxInt
+	maxDamageErrors = 64 // held until the next load reports them
 )
 
-// What a spill is refused for, beside ErrFull.
+// Errors of Spill, beside ErrFull.
 var (
-	ErrKeys    = errors.New("spool: too many order keys are spilled")
-	ErrChannel = errors.New("spool: a message of a channel, or one that ended, is not spilled")
-	ErrTwice   = errors.New("spool: a spilled message has this id")
-	ErrOff     = errors.New("spool: the backlog is off")
+	ErrTooManyKeys     = errors.New("spool: too many order keys are spilled")
+	ErrNotSpillable    = errors.New("spool: messages of a channel and ended messages cannot be spilled")
+	ErrDuplicate       = errors.New("spool: message ID is in use by a spilled message")
+	ErrBacklogDisabled = errors.New("spool: backlog is disabled")
 )
 
-// backlog is what memory keeps of spilled messages beside that of each segment. Spool's lock guards it.
+// backlog is the in-memory state of spilled messages beside that of each segment. Spool.mu guards it.
 type backlog struct {
-	newest  *newest
-	lines   map[int64]*line // of destinations with spilled messages; emptied as these are loaded
-	all     int
-	keys    map[uint64]spilledKey // by the hash of the order key
-	most    int                   // of keys
-	unkeyed bool                  // keys are not counted
-	moved   int                   // spilled messages copied forward so far
-	damaged []error               // not told yet
-	untold  int                   // beyond those
-	opening bool                  // segments are being read back: nothing is forgotten yet of which none is spilled
-	probes  []probe               // of sealed segments, as of when one was begun
-	probed  *segment              // that one
-
-	segment int64 // bytes, at most, of one
-	slots   int   // of one, about
-	closed  int64 // bytes in use by sealed segments
-	indexes int64 // bytes in use by their indexes
-	waiting int   // indexes in memory that could not be written yet
-
-	write  func(name string, data []byte) error
-	rename func(from, to string) error
-	step   func() // a moment at which a process may be killed
+	newest        *newestState
+	dests         map[int64]*destSpill // destinations with spilled messages; entries go as these are loaded
+	total         int
+	keys          map[uint64]spilledKey // by the hash of the order key
+	maxKeys       int                   // limit of keys
+	keysDisabled  bool                  // keys are not counted
+	copied        int                   // spilled messages copied forward so far
+	damaged       []error               // not reported yet
+	damageOmitted int                   // number of errors beyond those
+	recovering    bool                  // segments are being read: entries without spilled messages are not removed yet
+	filters       []segmentFilter       // of the sealed segments at the start of filtersFor
+	filtersFor    *segment              // newest segment when filters was built
+
+	maxSegment  int64 // bytes, limit of one segment
+	maxSlots    int   // approximate limit of one segment
+	sealedBytes int64 // disk usage of sealed segments
+	indexBytes  int64 // disk usage of their indexes
+	unwritten   int   // indexes in memory that could not be written yet
+
+	writeFile  func(name string, data []byte) error
+	rename     func(from, to string) error
+	crashPoint func() // called where tests simulate a kill
 }
 
 func newBacklog() *backlog {
-	return &backlog{lines: map[int64]*line{}, keys: map[uint64]spilledKey{}, most: mostKeys, segment: mostSegment, slots: mostSlots, step: func() {},
-		write: func(name string, data []byte) error { return os.WriteFile(name, data, 0o600) }, rename: os.Rename}
+	return &backlog{dests: map[int64]*destSpill{}, keys: map[uint64]spilledKey{}, maxKeys: maxOrderKeys, maxSegment: maxSegmentSize,
+		maxSlots: maxSlots, crashPoint: func() {},
+		writeFile: func(name string, data []byte) error { return os.WriteFile(name, data, 0o600) }, rename: os.Rename}
 }
 
 func (m *Message) entry() entry {
-	e := entry{dst: m.Dst, expires: m.Expires, taken: m.Taken, id: hashOf(m.ID), key: hashKey(m.OrderKey), offset: m.offset,
+	e := entry{dst: m.Dst, expires: m.Expires, seq: m.AcceptSeq, id: hashID(m.ID), key: hashKey(m.OrderKey), offset: m.offset,
 		length: uint32(m.length), slot: m.slot}
-	if m.Bare {
+	if m.Erased {
 		e.key = 0
 	}
 	return e
 }
 
-// Spill records a message as owed, new or working, and lets go of it: m is not the spool's any more but for Over, and comes back by Load
-// as a copy with all its attempts. Without an error it is owed. With one, a new message is not, and a working one stays so. ErrFull: no
-// room, or the indexes cannot be written. ErrKeys: its order key would be one too many. ErrChannel: it is of a channel, or ended.
-// ErrTwice: a spilled one has its id. ErrFenced: as Take. ErrOver: it was working, and is not.
+// Spill records a new or an active message as pending, and releases it: the caller may pass m only to Complete, and Load returns a copy
+// with all its legs. After an error, a new message is not pending and an active one stays active. ErrFull: no space, or the indexes
+// cannot be written. ErrTooManyKeys: its order key exceeds the limit. ErrNotSpillable: it belongs to a channel, or ended. ErrDuplicate: a
+// spilled message has its ID. ErrFenced: as in Accept. ErrNotPending: it was active, and is not any more.
 func (s *Spool) Spill(m *Message) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.backlog
-	working := m.segment != nil
+	active := m.segment != nil
 	switch key := hashKey(m.OrderKey); {
 	case b == nil:
-		return ErrOff
+		return ErrBacklogDisabled
 	case m.Channel != "" || m.Ended:
-		return ErrChannel
-	case working && s.owed[m.ID] != m:
-		return ErrOver
-	case key != 0 && !b.unkeyed && b.keys[key].count == 0 && len(b.keys) >= b.most:
-		return ErrKeys
-	}
-	if working && m.segment == b.newest.seg && m.fresh() { // its record tells all
-		delete(s.owed, m.ID)
-		s.rest(m)
+		return ErrNotSpillable
+	case active && s.pending[m.ID] != m:
+		return ErrNotPending
+	case key != 0 && !b.keysDisabled && b.keys[key].count == 0 && len(b.keys) >= b.maxKeys:
+		return ErrTooManyKeys
+	}
+	if active && m.segment == b.newest.seg && m.untouched() { // its record is complete
+		delete(s.pending, m.ID)
+		s.markSpilled(m)
 		return nil
 	}
-	if !working {
+	if !active {
 		if err := s.admit(m); err != nil {
 			return err
 		}
 	}
-	return s.spill(m, working)
+	return s.spill(m, active)
 }
 
-// spill writes the record of a message that rests from now on.
-func (s *Spool) spill(m *Message, working bool) error {
-	record := m.record()
+// spill writes the record of a message that is spilled.
+func (s *Spool) spill(m *Message, active bool) error {
+	record := m.encode()
 	n := int64(len(record))
 	if len(m.Legs) > 0 {
-		record = append(record, begin(recRested, m.ID).seal()...)
+		record = append(record, newRecord(recSpilled, m.ID).finish()...)
 	}
-	if err := s.makeRoom(int64(len(record))); err != nil {
+	if err := s.ensureSpaceForNew(int64(len(record))); err != nil {
 		return err
 	}
-	if err := s.append(record); err != nil {
+	if err := s.appendRecord(record); err != nil {
 		return err
 	}
-	if old := s.owed[m.ID]; old != nil { // m itself while it was working
-		s.drop(old)
+	if old := s.pending[m.ID]; old != nil { // m itself if it was active
+		s.dropPending(old)
 	}
-	s.stand(m, s.now(), s.now().size-int64(len(record)), n)
-	s.rest(m)
-	s.shrink()
+	s.placeInNewest(m, s.newestSegment(), s.newestSegment().size-int64(len(record)), n)
+	s.markSpilled(m)
+	s.reclaim()
 	return nil
 }
 
-// stand enters the newest record of a message, in the newest segment.
-func (s *Spool) stand(m *Message, seg *segment, offset, length int64) {
+// placeInNewest registers the newest record of a message, in the newest segment.
+func (s *Spool) placeInNewest(m *Message, seg *segment, offset, length int64) {
 	m.segment, m.offset, m.length = seg, offset, length
-	seg.owed++
-	seg.live += length
-	s.live += length
+	seg.pending++
+	seg.liveBytes += length
+	s.liveBytes += length
 	m.slot = s.backlog.newest.add(m.entry(), false)
 }
 
-// rest has a message that stands in the newest segment be spilled.
-func (s *Spool) rest(m *Message) {
+// markSpilled marks a message of the newest segment as spilled.
+func (s *Spool) markSpilled(m *Message) {
 	b := s.backlog
 	b.newest.spill(m.slot)
 	e := m.entry()
-	b.count(&e, 1)
+	b.addCount(&e, 1)
 	m.segment = nil
 }
 
-// NextDue is a lower bound of the earliest Expires of what is spilled, in µs since 1970; the highest int64 when nothing is.
-func (s *Spool) NextDue() int64 {
+// NextExpiry returns a lower bound of the earliest Expires of the spilled messages (µs since 1970), or the highest int64 if there are
+// none.
+func (s *Spool) NextExpiry() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.backlog == nil || s.backlog.all == 0 {
-		return never
+	if s.backlog == nil || s.backlog.total == 0 {
+		return noExpiry
 	}
-	due := s.backlog.newest.due
-	for _, seg := range s.order {
+	earliestExpiry := s.backlog.newest.minExpiry
+	for _, seg := range s.segments {
 		if seg.sealed != nil {
-			due = min(due, seg.sealed.due)
+			earliestExpiry = min(earliestExpiry, seg.sealed.minExpiry)
 		}
 	}
-	return due
+	return earliestExpiry
 }
 
-// Spilled counts what is spilled for a destination.
-func (s *Spool) Spilled(dst int64) int {
+// SpilledCount returns the number of spilled messages of a destination.
+func (s *Spool) SpilledCount(dst int64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.backlog == nil || s.backlog.lines[dst] == nil {
+	if s.backlog == nil || s.backlog.dests[dst] == nil {
 		return 0
 	}
-	return s.backlog.lines[dst].left
+	return s.backlog.dests[dst].count
 }
 
-// SpilledAll counts all that is spilled.
-func (s *Spool) SpilledAll() int {
+// SpilledTotal returns the number of spilled messages.
+func (s *Spool) SpilledTotal() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backlog == nil {
 		return 0
 	}
-	return s.backlog.all
+	return s.backlog.total
 }
 
-// SpilledTo lists destinations with spilled messages, in rising order.
-func (s *Spool) SpilledTo() []int64 {
+// SpilledDestinations lists the destinations with spilled messages in ascending order.
+func (s *Spool) SpilledDestinations() []int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backlog == nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(s.backlog.lines))
+	return slices.Sorted(maps.Keys(s.backlog.dests))
 }
 
-// SpilledKey tells whether a message with this order key is spilled, and whether one may be at another destination than dst: that yes
-// may be out of date until the key's last one is loaded. Both are no for the empty key. It goes by a hash of 64 bits.
-func (s *Spool) SpilledKey(orderKey string, dst int64) (rests, elsewhere bool) {
+// HasSpilledKey reports whether a message with this order key is spilled, and whether one may be spilled for a destination other than
+// dst: that may be out of date until the last message of the key is loaded. Both are false for the empty key. Keys are compared by a
+// 64-bit hash.
+func (s *Spool) HasSpilledKey(orderKey string, dst int64) (spilled, elsewhere bool) {
 	if orderKey == "" {
 		return false, false
 	}
@@ -193,57 +196,58 @@
 		return false, false
 	}
 	k := s.backlog.keys[hashKey(orderKey)]
-	return k.count > 0, k.count > 0 && (k.several || k.dst != dst)
+	return k.count > 0, k.count > 0 && (k.multipleDsts || k.dst != dst)
 }
 
-// withdraw has a message be over that was spilled, or was loaded again since: who gave it to Spill has no other hold on it than Over.
-func (s *Spool) withdraw(m *Message) error {
-	if m.segment != nil || m.Taken == 0 {
-		return ErrOver
+// completeReleased completes a message that was spilled, whether or not it was loaded again: Complete is all that its former owner can
+// still call.
+func (s *Spool) completeReleased(m *Message) error {
+	if m.segment != nil || m.AcceptSeq == 0 {
+		return ErrNotPending
 	}
-	if now := s.owed[m.ID]; now != nil && now.Taken == m.Taken {
-		return s.recordOver(now)
+	if current := s.pending[m.ID]; current != nil && current.AcceptSeq == m.AcceptSeq {
+		return s.completeLocked(current)
 	}
-	seg, e, found, err := s.find(m.ID)
+	seg, e, found, err := s.findSpilled(m.ID)
 	if err != nil {
 		return err
 	}
-	if !found || e.taken != m.Taken {
-		return ErrOver
+	if !found || e.seq != m.AcceptSeq {
+		return ErrNotPending
 	}
-	record := begin(recOver, m.ID).seal()
-	moved := s.backlog.moved
-	if err := s.noteRoom(int64(len(record))); err != nil {
+	record := newRecord(recCompleted, m.ID).finish()
+	copiedBefore := s.backlog.copied
+	if err := s.ensureSpaceForUpdate(int64(len(record))); err != nil {
 		return err
 	}
-	if s.backlog.moved != moved { // making room had it copied forward
-		if seg, e, found, err = s.find(m.ID); err != nil || !found {
-			return errors.Join(ErrOver, err)
+	if s.backlog.copied != copiedBefore { // making space copied it forward
+		if seg, e, found, err = s.findSpilled(m.ID); err != nil || !found {
+			return errors.Join(ErrNotPending, err)
 		}
 	}
-	if err := s.append(record); err != nil {
+	if err := s.appendRecord(record); err != nil {
 		return err
 	}
-	s.overSpilled(seg, &e)
-	s.shrink()
+	s.dropSpilled(seg, &e)
+	s.reclaim()
 	return nil
 }
 
-// discard has a slot that is spilled no more count as owed no more in its segment.
-func (s *Spool) discard(seg *segment, e *entry) {
-	seg.owed--
-	seg.live -= int64(e.length)
-	s.live -= int64(e.length)
+// subtractLive subtracts a slot that is no longer spilled from the pending counts of its segment.
+func (s *Spool) subtractLive(seg *segment, e *entry) {
+	seg.pending--
+	seg.liveBytes -= int64(e.length)
+	s.liveBytes -= int64(e.length)
 }
 
-// Has tells whether a message of this id is owed, spilled or not; one of which the notice alone is owed does not count. Where a file cannot
-// be read at the moment, it says yes: a refused hand-in does less harm than a message that is owed twice.
+// Has reports whether a message with this ID is pending, spilled or not. Messages of which only the notice is pending do not count. If a
+// file cannot be read at the moment it returns true: a refused hand-in does less harm than a duplicate message.
 func (s *Spool) Has(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m := s.owed[id]; m != nil && !m.Ended {
+	if m := s.pending[id]; m != nil && !m.Ended {
 		return true
 	}
-	_, _, found, err := s.find(id)
+	_, _, found, err := s.findSpilled(id)
 	return found || err != nil
 }
--- a/internal/spool/backlog_test.go
+++ b/internal/spool/backlog_test.go
@@ -15,35 +15,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-func openRoom(t *testing.T, dir string, room int64) *Spool {
+func openWithBacklog(t *testing.T, dir string, capacity int64) *Spool {
 	t.Helper()
-	s, _, err := OpenBacklog(dir, room)
+	s, _, err := OpenBacklog(dir, capacity)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
-// small has segments of so many bytes.
-func small(t *testing.T, dir string, room, segment int64) *Spool {
+// openSmallSegments opens a backlog whose segments are limited to the given number of bytes.
+func openSmallSegments(t *testing.T, dir string, capacity, segment int64) *Spool {
 	t.Helper()
 	b := newBacklog()
-	b.segment = segment
-	s, _, err := openBacklog(dir, room, b)
+	b.maxSegment = segment
+	s, _, err := openBacklog(dir, capacity, b)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
-func addressed(id string, dst int64, size int) *Message {
-	m := message(id, size)
+func newMessageTo(id string, dst int64, size int) *Message {
+	m := newMessage(id, size)
 	m.Dst, m.Expires = dst, 1e15+int64(len(id))
 	return m
 }
 
-// plain is a message without what only its process knows.
-func plain(m *Message) Message {
+// persistentFields copies a message without the fields that are not stored.
+func persistentFields(m *Message) Message {
 	p := *m
-	p.segment, p.length, p.slot, p.offset, p.drawn = nil, 0, 0, 0, false
+	p.segment, p.length, p.slot, p.offset, p.loaded = nil, 0, 0, 0, false
 	if len(p.Body) == 0 {
 		p.Body = nil
 	}
@@ -55,19 +55,19 @@
 	return p
 }
 
-// model is what a spool should owe, as a plain map.
+// model is the expected content of a spool, as plain maps.
 type model struct {
-	working map[string]*Message
-	spilled map[string]Message
-	given   map[string]*Message // to Spill, by now
+	active   map[string]*Message
+	spilled  map[string]Message
+	released map[string]*Message // passed to Spill so far
 }
 
 func newModel() *model {
 	return &model{map[string]*Message{}, map[string]Message{}, map[string]*Message{}}
 }
 
-// same compares what is owed, and tells what differs in few words.
-func same(t *testing.T, want, got map[string]Message, what string, args ...any) {
+// requireSame compares pending messages, and prints a short summary of the differences.
+func requireSame(t *testing.T, want, got map[string]Message, what string, args ...any) {
 	t.Helper()
 	if reflect.DeepEqual(want, got) {
 		return
@@ -78,101 +78,101 @@
 			lines = append(lines, "missing "+id)
 		} else if !reflect.DeepEqual(m, g) {
 			m.Body, g.Body = nil, nil
-			lines = append(lines, fmt.Sprintf("%+v\nis %+v", m, g))
+			lines = append(lines, fmt.Sprintf("%+v\ngot %+v", m, g))
 		}
 	}
 	for id := range got {
 		if _, in := want[id]; !in {
-			lines = append(lines, "too much "+id)
+			lines = append(lines, "unexpected "+id)
 		}
 	}
 	slices.Sort(lines)
 	require.Fail(t, fmt.Sprintf(what, args...), strings.Join(lines[:min(len(lines), 6)], "\n"))
 }
 
-// all lists everything owed by id.
+// all returns every pending message by ID.
 func (w *model) all() map[string]Message {
 	all := maps.Clone(w.spilled)
-	for id, m := range w.working {
-		all[id] = plain(m)
+	for id, m := range w.active {
+		all[id] = persistentFields(m)
 	}
 	return all
 }
 
-// restart moves those to the spilled that an attempt, an end, a channel or a load do not keep at work.
+// restart moves messages to spilled unless a leg, an end, a channel or a load keeps them active.
 func (w *model) restart(t *testing.T, s *Spool) {
 	t.Helper()
-	owed := map[string]*Message{}
-	for _, m := range s.Owed() {
-		owed[m.ID] = m
+	pending := map[string]*Message{}
+	for _, m := range s.Pending() {
+		pending[m.ID] = m
 	}
-	for id, m := range w.working {
-		if len(m.Legs) == 0 && !m.Ended && m.Channel == "" && !m.drawn {
-			require.Nil(t, owed[id], "rests: %s", id)
-			w.spilled[id] = plain(m)
-			delete(w.working, id)
+	for id, m := range w.active {
+		if len(m.Legs) == 0 && !m.Ended && m.Channel == "" && !m.loaded {
+			require.Nil(t, pending[id], "spilled: %s", id)
+			w.spilled[id] = persistentFields(m)
+			delete(w.active, id)
 			continue
 		}
-		require.NotNil(t, owed[id], "works: %s", id)
-		require.Equal(t, plain(m), plain(owed[id]))
-		w.working[id] = owed[id]
+		require.NotNil(t, pending[id], "active: %s", id)
+		require.Equal(t, persistentFields(m), persistentFields(pending[id]))
+		w.active[id] = pending[id]
 	}
-	require.Len(t, owed, len(w.working))
+	require.Len(t, pending, len(w.active))
 }
 
-// check compares all that can be asked.
+// check compares the results of all queries.
 func (w *model) check(t *testing.T, s *Spool) {
 	t.Helper()
-	require.Equal(t, len(w.spilled), s.SpilledAll())
-	byDst, due := map[int64]int{}, never
+	require.Equal(t, len(w.spilled), s.SpilledTotal())
+	byDst, due := map[int64]int{}, noExpiry
 	for id, m := range w.spilled {
 		byDst[m.Dst]++
 		due = min(due, m.Expires)
 		require.True(t, s.Has(id), id)
-		rests, _ := s.SpilledKey(m.OrderKey, 0)
-		require.Equal(t, m.OrderKey != "", rests, id)
+		spilled, _ := s.HasSpilledKey(m.OrderKey, 0)
+		require.Equal(t, m.OrderKey != "", spilled, id)
 		if m.OrderKey != "" {
-			_, elsewhere := s.SpilledKey(m.OrderKey, m.Dst+1)
+			_, elsewhere := s.HasSpilledKey(m.OrderKey, m.Dst+1)
 			require.True(t, elsewhere)
 		}
 	}
-	require.LessOrEqual(t, s.NextDue(), due)
-	require.Equal(t, slices.Sorted(maps.Keys(byDst)), s.SpilledTo())
+	require.LessOrEqual(t, s.NextExpiry(), due)
+	require.Equal(t, slices.Sorted(maps.Keys(byDst)), s.SpilledDestinations())
 	for dst, n := range byDst {
-		require.Equal(t, n, s.Spilled(dst))
+		require.Equal(t, n, s.SpilledCount(dst))
 	}
-	rests, elsewhere := s.SpilledKey("never used", 1)
-	require.False(t, rests || elsewhere)
+	spilled, elsewhere := s.HasSpilledKey("never used", 1)
+	require.False(t, spilled || elsewhere)
 	require.False(t, s.Has("never used"))
-	owed, live := 0, int64(0)
-	for _, seg := range s.order {
-		owed, live = owed+seg.owed, live+seg.live
+	pending, live := 0, int64(0)
+	for _, seg := range s.segments {
+		pending, live = pending+seg.pending, live+seg.liveBytes
 	}
-	require.Equal(t, len(w.spilled)+len(w.working), owed)
-	require.Equal(t, s.live, live)
+	require.Equal(t, len(w.spilled)+len(w.active), pending)
+	require.Equal(t, s.liveBytes, live)
 }
 
-// loaded takes what was loaded over into the working ones.
+// loaded moves loaded messages from spilled to active.
 func (w *model) loaded(t *testing.T, ms []*Message) {
 	t.Helper()
 	for _, m := range ms {
 		want, in := w.spilled[m.ID]
 		require.True(t, in, "spilled before: %s", m.ID)
-		require.Equal(t, want, plain(m))
+		require.Equal(t, want, persistentFields(m))
 		delete(w.spilled, m.ID)
-		w.working[m.ID] = m
+		w.active[m.ID] = m
 	}
 }
 
-// first lists what should come of a destination.
-func (w *model) first(dst int64, n int) (ids []string) {
+// oldest lists the IDs that a load of a destination should return.
+func (w *model) oldest(dst int64, n int) (ids []string) {
 	var ms []Message
 	for _, m := range w.spilled {
 		if m.Dst == dst {
 			ms = append(ms, m)
 		}
 	}
-	slices.SortFunc(ms, func(a, b Message) int { return cmp.Compare(a.Taken, b.Taken) })
+	slices.SortFunc(ms, func(a, b Message) int { return cmp.Compare(a.AcceptSeq, b.AcceptSeq) })
 	for _, m := range ms[:min(n, len(ms))] {
 		ids = append(ids, m.ID)
 	}
@@ -186,15 +186,15 @@
 	return ids
 }
 
-// drain takes all that a folder owes out of it, and compares it with what should be there.
-func drain(t *testing.T, dir string, room int64, want map[string]Message) {
+// drainFolder loads all pending messages of a folder, and compares them with the expected ones.
+func drainFolder(t *testing.T, dir string, capacity int64, want map[string]Message) {
 	t.Helper()
-	s := openRoom(t, dir, room)
+	s := openWithBacklog(t, dir, capacity)
 	got := map[string]Message{}
-	for _, m := range s.Owed() {
-		got[m.ID] = plain(m)
+	for _, m := range s.Pending() {
+		got[m.ID] = persistentFields(m)
 	}
-	for _, dst := range s.SpilledTo() {
+	for _, dst := range s.SpilledDestinations() {
 		for {
 			ms, err := s.Load(dst, 50)
 			require.NoError(t, err)
@@ -203,71 +203,71 @@
 			}
 			last := int64(0)
 			for _, m := range ms {
-				require.NotContains(t, got, m.ID, "owed once")
-				require.Greater(t, m.Taken, last, "in the order taken on")
-				got[m.ID], last = plain(m), m.Taken
+				require.NotContains(t, got, m.ID, "pending once")
+				require.Greater(t, m.AcceptSeq, last, "in order of acceptance")
+				got[m.ID], last = persistentFields(m), m.AcceptSeq
 			}
 		}
 	}
-	same(t, want, got, "drained")
-	require.Zero(t, s.SpilledAll())
+	requireSame(t, want, got, "drained")
+	require.Zero(t, s.SpilledTotal())
 	require.NoError(t, s.Close())
 }
 
-func copied(t *testing.T, dir string) string {
+func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	next := t.TempDir()
 	require.NoError(t, os.CopyFS(next, os.DirFS(dir)))
 	return next
 }
 
-// play does one random thing, and the same to the model.
-func (w *model) play(t *testing.T, s *Spool, r *rand.Rand, i int) {
+// randomOperation applies one random operation to the spool and to the model.
+func (w *model) randomOperation(t *testing.T, s *Spool, r *rand.Rand, i int) {
 	t.Helper()
-	ids := slices.Sorted(maps.Keys(w.working))
+	ids := slices.Sorted(maps.Keys(w.active))
 	var m *Message
 	if len(ids) > 0 {
-		m = w.working[ids[r.IntN(len(ids))]]
+		m = w.active[ids[r.IntN(len(ids))]]
 	}
 	switch what := r.IntN(20); {
 	case what < 8 || m == nil && what < 16:
-		m = addressed(fmt.Sprint("m", i), int64(r.IntN(5)), r.IntN(200))
+		m = newMessageTo(fmt.Sprint("m", i), int64(r.IntN(5)), r.IntN(200))
 		m.Expires = int64(1e15) + r.Int64N(1000)
 		m.OrderKey = []string{"", "x", "y", fmt.Sprint("k", i)}[r.IntN(4)]
 		if what == 0 {
 			m.Channel, m.Pos = "c", int64(i)
 		}
 		if what < 4 {
-			if w.refused(t, s.Take(m)) {
+			if w.isFull(t, s.Accept(m)) {
 				return
 			}
-			w.working[m.ID] = m
+			w.active[m.ID] = m
 			return
 		}
-		if w.refused(t, s.Spill(m)) {
+		if w.isFull(t, s.Spill(m)) {
 			return
 		}
-		w.spilled[m.ID] = plain(m)
+		w.spilled[m.ID] = persistentFields(m)
 	case what < 10:
 		if m.Channel != "" || m.Ended {
-			require.ErrorIs(t, s.Spill(m), ErrChannel)
+			require.ErrorIs(t, s.Spill(m), ErrNotSpillable)
 			return
 		}
-		if !w.refused(t, s.Spill(m)) {
-			delete(w.working, m.ID)
-			w.spilled[m.ID] = plain(m)
-			require.ErrorIs(t, s.Leg(m, Leg{}), ErrOver, "it is let go of")
-			w.given[m.ID] = m
+		if !w.isFull(t, s.Spill(m)) {
+			delete(w.active, m.ID)
+			w.spilled[m.ID] = persistentFields(m)
+			require.ErrorIs(t, s.AddLeg(m, Leg{}), ErrNotPending, "it was released")
+			w.released[m.ID] = m
 		}
 	case what < 12:
 		dst, n := int64(r.IntN(5)), 1+r.IntN(6)
 		ms, err := s.Load(dst, n)
 		require.NoError(t, err)
-		require.Equal(t, w.first(dst, n), idsOf(ms))
+		require.Equal(t, w.oldest(dst, n), idsOf(ms))
 		w.loaded(t, ms)
 	case what == 12:
 		before := int64(1e15) + r.Int64N(300)
-		ms, err := s.LoadDue(before, 4)
+		ms, err := s.LoadExpiring(before, 4)
 		require.NoError(t, err)
 		due := 0
 		for _, m := range w.spilled {
@@ -281,11 +281,11 @@
 		}
 		w.loaded(t, ms)
 	case what == 13 && m != nil && len(m.Legs) > 0 && r.IntN(2) == 0:
-		require.NoError(t, s.NeverRan(m))
+		require.NoError(t, s.MarkNeverRan(m))
 	case what == 13 && m != nil:
-		require.NoError(t, s.Leg(m, Leg{SentAt: int64(i), Zone: r.IntN(3)}))
+		require.NoError(t, s.AddLeg(m, Leg{SentAt: int64(i), Zone: r.IntN(3)}))
 	case what == 14 && m != nil:
-		require.NoError(t, s.End(m, r.IntN(2) == 0, int64(i)))
+		require.NoError(t, s.MarkUndelivered(m, r.IntN(2) == 0, int64(i)))
 	case what == 15:
 		match := func(m *Message) bool { return m.Dst == 1 && m.Expires%3 == 0 }
 		ms, err := s.LoadMatching(match, 3)
@@ -298,24 +298,24 @@
 		}
 		require.Len(t, ms, min(matching, 3))
 		w.loaded(t, ms)
-	case what == 16 && len(w.given) > 0: // withdrawn, while it rests, works again or is over
-		m := w.given[slices.Min(slices.Collect(maps.Keys(w.given)))]
-		delete(w.given, m.ID)
-		_, rests := w.spilled[m.ID]
-		if w.working[m.ID] == nil && !rests {
-			require.ErrorIs(t, s.Over(m), ErrOver)
+	case what == 16 && len(w.released) > 0: // complete a released message: spilled, active again or already complete
+		m := w.released[slices.Min(slices.Collect(maps.Keys(w.released)))]
+		delete(w.released, m.ID)
+		_, spilled := w.spilled[m.ID]
+		if w.active[m.ID] == nil && !spilled {
+			require.ErrorIs(t, s.Complete(m), ErrNotPending)
 			return
 		}
-		require.NoError(t, s.Over(m))
+		require.NoError(t, s.Complete(m))
 		delete(w.spilled, m.ID)
-		delete(w.working, m.ID)
+		delete(w.active, m.ID)
 	case m != nil:
-		require.NoError(t, s.Over(m))
-		delete(w.working, m.ID)
+		require.NoError(t, s.Complete(m))
+		delete(w.active, m.ID)
 	}
 }
 
-func (w *model) refused(t *testing.T, err error) bool {
+func (w *model) isFull(t *testing.T, err error) bool {
 	t.Helper()
 	if err != nil {
 		require.ErrorIs(t, err, ErrFull)
@@ -323,17 +323,17 @@
 	return err != nil
 }
 
-// lives plays thousands of random things, restarts and switching off and on among them, against a plain map.
-func lives(t *testing.T, seed uint64, deeds int) {
+// randomRun compares thousands of random operations, with restarts and switches of the backlog, against the model.
+func randomRun(t *testing.T, seed uint64, operations int) {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 1))
-	room, segment := int64(64<<10)<<(seed%3), int64(1<<10)<<(seed%5)
+	capacity, segment := int64(64<<10)<<(seed%3), int64(1<<10)<<(seed%5)
 	dir, w, disk := t.TempDir(), newModel(), rand.New(rand.NewPCG(seed, 2))
 	start := func() *Spool {
 		b := newBacklog()
-		b.segment = segment
-		if write, rename := b.write, b.rename; seed%2 == 1 { // on a disk that takes an index only now and then
-			b.write = func(name string, data []byte) error {
+		b.maxSegment = segment
+		if write, rename := b.writeFile, b.rename; seed%2 == 1 { // on a disk on which writes of an index fail at times
+			b.writeFile = func(name string, data []byte) error {
 				if disk.IntN(4) == 0 {
 					_ = write(name, data[:disk.IntN(len(data))])
 					return syscall.ENOSPC
@@ -347,29 +347,29 @@
 				return rename(from, to)
 			}
 		}
-		s, _, err := openBacklog(dir, room, b)
+		s, _, err := openBacklog(dir, capacity, b)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = s.Close() })
 		return s
 	}
 	s := start()
-	for i := range deeds {
-		w.play(t, s, r, i)
+	for i := range operations {
+		w.randomOperation(t, s, r, i)
 		if i%97 == 0 {
 			w.check(t, s)
-			require.LessOrEqual(t, folder(t, dir), room)
+			require.LessOrEqual(t, folderSize(t, dir), capacity)
 		}
 		if r.IntN(250) > 0 {
 			continue
 		}
-		if r.IntN(3) == 0 { // the old way owes all, and the new way after it
-			off := open(t, copied(t, dir), room)
+		if r.IntN(3) == 0 { // Open restores everything, and so does OpenBacklog after it
+			off := openSpool(t, copyFolder(t, dir), capacity)
 			got := map[string]Message{}
-			for _, m := range off.Owed() {
-				got[m.ID] = plain(m)
+			for _, m := range off.Pending() {
+				got[m.ID] = persistentFields(m)
 			}
-			same(t, w.all(), got, "the old way")
-			drain(t, off.dir, room, w.all())
+			requireSame(t, w.all(), got, "without the backlog")
+			drainFolder(t, off.dir, capacity, w.all())
 		}
 		if r.IntN(2) == 0 {
 			require.NoError(t, s.Close())
@@ -378,14 +378,14 @@
 		w.restart(t, s)
 		w.check(t, s)
 	}
-	drain(t, dir, room, w.all())
+	drainFolder(t, dir, capacity, w.all())
 }
 
-func TestBacklogOwesWhatAPlainMapOwes(t *testing.T) {
+func TestBacklogMatchesModel(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			lives(t, seed, 4000)
+			randomRun(t, seed, 4000)
 		})
 	}
 }
--- a/internal/spool/counts.go
+++ b/internal/spool/counts.go
@@ -5,80 +5,81 @@
 	"slices"
 )
 
-// line is what is spilled for one destination.
-type line struct {
-	left int
-	runs []run // by segment, the oldest first; the newest segment has none
+// destSpill counts and locates the spilled messages of one destination.
+type destSpill struct {
+	count int
+	runs  []run // by segment, oldest first; the newest segment has none
 }
 
-// run is where spilled messages of one destination stand in a sealed segment, one beside the other in its index.
+// run locates the spilled messages of one destination in a sealed segment; they are adjacent in its index.
 type run struct {
-	seg   *segment
-	taken int64  // of the entry at next
-	next  uint32 // position; none of the run in front of it is spilled
-	left  uint32
+	seg     *segment
+	nextSeq int64  // acceptance number of the entry at next
+	next    uint32 // index position; no earlier entry of the run is spilled
+	count   uint32
 }
 
-func (b *backlog) line(dst int64) *line {
-	l := b.lines[dst]
+func (b *backlog) dest(dst int64) *destSpill {
+	l := b.dests[dst]
 	if l == nil {
-		l = &line{}
-		b.lines[dst] = l
+		l = &destSpill{}
+		b.dests[dst] = l
 	}
 	return l
 }
 
-// prune forgets a destination of which nothing is spilled.
-func (b *backlog) prune(dst int64, l *line) {
-	if l.left == 0 && !b.opening {
-		delete(b.lines, dst)
+// pruneDest removes a destination without spilled messages.
+func (b *backlog) pruneDest(dst int64, l *destSpill) {
+	if l.count == 0 && !b.recovering {
+		delete(b.dests, dst)
 	}
 }
 
-// of finds a segment's run.
-func (l *line) of(seg *segment) (i int, found bool) {
+// findRun finds the run of a segment.
+func (l *destSpill) findRun(seg *segment) (i int, found bool) {
 	return slices.BinarySearchFunc(l.runs, seg.number, func(r run, number int64) int { return cmp.Compare(r.seg.number, number) })
 }
 
-func (l *line) add(r run) {
-	i, _ := l.of(r.seg)
+func (l *destSpill) insertRun(r run) {
+	i, _ := l.findRun(r.seg)
 	l.runs = slices.Insert(l.runs, i, r)
 }
 
-// count takes a spilled message into the counts by destination and key, or out of them.
-func (b *backlog) count(e *entry, by int) {
-	b.all += by
-	l := b.line(e.dst)
-	l.left += by
-	b.prune(e.dst, l)
-	if e.key != 0 && !b.unkeyed {
-		b.countKey(e.key, e.dst, int32(by))
+// addCount adds a spilled message to the counts by destination and key, or subtracts it.
+func (b *backlog) addCount(e *entry, delta int) {
+	b.total += delta
+	l := b.dest(e.dst)
+	l.count += delta
+	b.pruneDest(e.dst, l)
+	if e.key != 0 && !b.keysDisabled {
+		b.addKeyCount(e.key, e.dst, int32(delta))
 	}
 }
 
-// Unkeyed has order keys not be counted any more: SpilledKey says no, and Spill gives no ErrKeys. For where nothing keeps an order.
-func (s *Spool) Unkeyed() {
+// DisableKeyCounts stops counting order keys: HasSpilledKey reports false, and Spill never returns ErrTooManyKeys. It is meant for
+// configurations that preserve no order.
+func (s *Spool) DisableKeyCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backlog != nil {
-		s.backlog.unkeyed, s.backlog.keys = true, nil
+		s.backlog.keysDisabled, s.backlog.keys = true, nil
 	}
 }
 
-// spilledKey is what is known of an order key.
+// spilledKey counts the spilled messages of an order key.
 type spilledKey struct {
-	dst     int64 // of the first one spilled
-	count   int32
-	several bool // at another destination too, at some time
+	dst          int64 // destination of the first one spilled
+	count        int32
+	multipleDsts bool // at some time also spilled for another destination
 }
 
-func (b *backlog) countKey(key uint64, dst int64, by int32) {
+func (b *backlog) addKeyCount(key uint64, dst int64, delta int32) {
 	k, known := b.keys[key]
 	if !known {
 		k.dst = dst
 	}
-	k.count += by
-	k.several = k.several || k.dst != dst
+	k.count += delta
+	k.multipleDsts = k.multipleDsts || k.dst != dst
 	if k.count == 0 {
 		delete(b.keys, key)
 		return
@@ -86,7 +87,7 @@
 	b.keys[key] = k
 }
 
-// isSpilled tells whether a slot is spilled, in the newest segment or a sealed one.
+// isSpilled reports whether a slot of the newest or of a sealed segment is spilled.
 func (b *backlog) isSpilled(seg *segment, slot uint32) bool {
 	if seg.sealed != nil {
 		return seg.sealed.spilled.has(slot)
@@ -94,44 +95,44 @@
 	return b.newest != nil && b.newest.seg == seg && int(slot) < len(b.newest.entries) && b.newest.entries[slot].spilled
 }
 
-// unspill has a slot spilled no more. It stays owed.
+// unspill marks a slot as no longer spilled. It stays pending.
 func (b *backlog) unspill(seg *segment, e *entry) {
 	if r := seg.sealed; r == nil {
 		b.newest.unspill(e.slot)
 	} else {
 		r.spilled.clear(e.slot)
-		if r.left--; r.left == 0 && !b.opening {
-			r.filter, r.due = nil, never
+		if r.spilledCount--; r.spilledCount == 0 && !b.recovering {
+			r.filter, r.minExpiry = nil, noExpiry
 		}
-		b.shorten(seg, e.dst)
+		b.shortenRun(seg, e.dst)
 	}
-	b.count(e, -1)
+	b.addCount(e, -1)
 }
 
-// shorten takes one off a run.
-func (b *backlog) shorten(seg *segment, dst int64) {
-	l := b.line(dst)
-	i, found := l.of(seg)
+// shortenRun decrements the count of a run.
+func (b *backlog) shortenRun(seg *segment, dst int64) {
+	l := b.dest(dst)
+	i, found := l.findRun(seg)
 	if !found {
 		return
 	}
-	if l.runs[i].left--; l.runs[i].left == 0 && !b.opening {
+	if l.runs[i].count--; l.runs[i].count == 0 && !b.recovering {
 		l.runs = slices.Delete(l.runs, i, i+1)
 	}
 }
 
-// die has a slot owed no more, or not here. The newest segment's index will tell so of a slot of an older one.
-func (b *backlog) die(seg *segment, e *entry) {
+// markDead marks a slot as completed or moved. If it is in an older segment, the index of the newest segment will record that.
+func (b *backlog) markDead(seg *segment, e *entry) {
 	if b.newest.seg == seg {
-		b.newest.die(e.slot)
+		b.newest.markDead(e.slot)
 		return
 	}
-	b.newest.dead = append(b.newest.dead, dead{seg.number, *e})
+	b.newest.dead = append(b.newest.dead, deadEntry{seg.number, *e})
 }
 
-// overSpilled has a spilled slot be owed no more, or not here.
-func (s *Spool) overSpilled(seg *segment, e *entry) {
+// dropSpilled removes a spilled slot that was completed or moved.
+func (s *Spool) dropSpilled(seg *segment, e *entry) {
 	s.backlog.unspill(seg, e)
-	s.discard(seg, e)
-	s.backlog.die(seg, e)
+	s.subtractLive(seg, e)
+	s.backlog.markDead(seg, e)
 }
--- a/internal/spool/damage.go
+++ b/internal/spool/damage.go
@@ -5,11 +5,12 @@
 	"fmt"
 )
 
-// DamagedError says that the record of a spilled message cannot be read: it is handed out no more, like what stands behind a torn record.
+// DamagedError reports that the record of a spilled message cannot be read. The message is not loaded any more, like those behind a torn
+// record.
 type DamagedError struct {
-	Segment int64 // its number
+	Segment int64 // segment number
 	Offset  int64 // bytes
-	Err     error // of the read, or that the record is not whole
+	Err     error // read error, or an invalid record
 }
 
 func (e *DamagedError) Error() string {
@@ -18,36 +19,36 @@
 
 func (e *DamagedError) Unwrap() error { return e.Err }
 
-// lose gives up a spilled slot that cannot be read. Its segment goes as if it were over, unless the read itself failed or the index
-// is broken: then it stays for the next start.
-func (s *Spool) lose(seg *segment, e *entry, err error) {
+// dropDamaged gives up a spilled slot that cannot be read. Its segment may be removed as if the message had completed, unless the read
+// itself failed or the index is damaged: then the segment stays for the next start.
+func (s *Spool) dropDamaged(seg *segment, e *entry, err error) {
 	b := s.backlog
-	if errors.Is(err, errRecord) && !s.trusted(seg) {
-		err = errIndex
+	if errors.Is(err, errBadRecord) && !s.recheckIndex(seg) {
+		err = errBadIndex
 	}
 	b.unspill(seg, e)
-	if errors.Is(err, errRecord) {
-		s.discard(seg, e)
+	if errors.Is(err, errBadRecord) {
+		s.subtractLive(seg, e)
 	} else if seg.sealed != nil {
 		seg.sealed.pinned = true
 	}
-	b.noteDamage(&DamagedError{Segment: seg.number, Offset: e.offset, Err: err})
+	b.addDamage(&DamagedError{Segment: seg.number, Offset: e.offset, Err: err})
 }
 
-func (b *backlog) noteDamage(err error) {
-	if len(b.damaged) < mostDamaged {
+func (b *backlog) addDamage(err error) {
+	if len(b.damaged) < maxDamageErrors {
 		b.damaged = append(b.damaged, err)
 	} else {
-		b.untold++
+		b.damageOmitted++
 	}
 }
 
-// told gives the damage that was not told yet.
-func (b *backlog) told() error {
+// takeDamage returns the damage that was not reported yet.
+func (b *backlog) takeDamage() error {
 	all := b.damaged
-	if b.untold > 0 {
-		all = append(all, fmt.Errorf("spool: and %d more that cannot be read", b.untold))
+	if b.damageOmitted > 0 {
+		all = append(all, fmt.Errorf("spool: %d further records cannot be read", b.damageOmitted))
 	}
-	b.damaged, b.untold = nil, 0
+	b.damaged, b.damageOmitted = nil, 0
 	return errors.Join(all...)
 }
--- a/internal/spool/damage_test.go
+++ b/internal/spool/damage_test.go
@@ -16,37 +16,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rested is a folder with n messages to two destinations, sealed in some segments, some worked at and over.
-func rested(t *testing.T, dir string, room int64, n int) map[string]Message {
+// populateSealed fills a folder with n messages to two destinations in several sealed segments, some with legs, some completed.
+func populateSealed(t *testing.T, dir string, capacity int64, n int) map[string]Message {
 	t.Helper()
-	s, all := small(t, dir, room, 900), map[string]Message{}
+	s, all := openSmallSegments(t, dir, capacity, 900), map[string]Message{}
 	for i := range n {
-		m := addressed(fmt.Sprint("m", i), int64(1+i%2), 30)
+		m := newMessageTo(fmt.Sprint("m", i), int64(1+i%2), 30)
 		m.OrderKey = fmt.Sprint("k", i%3)
 		if i%5 > 0 {
 			require.NoError(t, s.Spill(m))
-			all[m.ID] = plain(m)
+			all[m.ID] = persistentFields(m)
 			continue
 		}
-		require.NoError(t, s.Take(m))
-		require.NoError(t, s.Leg(m, Leg{SentAt: int64(i + 1)}))
+		require.NoError(t, s.Accept(m))
+		require.NoError(t, s.AddLeg(m, Leg{SentAt: int64(i + 1)}))
 		switch i % 3 {
 		case 0:
-			require.NoError(t, s.Over(m))
+			require.NoError(t, s.Complete(m))
 			continue
 		case 1:
-			require.NoError(t, s.End(m, true, 9))
+			require.NoError(t, s.MarkUndelivered(m, true, 9))
 		}
-		all[m.ID] = plain(m)
+		all[m.ID] = persistentFields(m)
 	}
 	require.NoError(t, s.Close())
 	return all
 }
 
-// spoilt is the folder with one file's bytes changed. The other files are the same ones: a spool never writes to a file that was there.
-func spoilt(t *testing.T, dir, name string, data []byte) string {
+// copyWithFile links the folder, with the content of one file replaced. Links suffice, as a spool never writes to an existing file.
+func copyWithFile(t *testing.T, dir, name string, data []byte) string {
 	t.Helper()
-	next, err := os.MkdirTemp(filepath.Dir(dir), "spoilt")
+	next, err := os.MkdirTemp(filepath.Dir(dir), "damaged")
 	require.NoError(t, err)
 	files, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -66,97 +66,98 @@
 	return names
 }
 
-// resum gives the brief of an index the checksum of what it says now.
-func resum(t *testing.T, data []byte, p shape) {
+// updateChecksum sets the checksum of an index summary to match its content.
+func updateChecksum(t *testing.T, data []byte, p layout) {
 	t.Helper()
 	end := p.statesEnd()
 	binary.LittleEndian.PutUint32(data[end:], crc32.ChecksumIEEE(data[:end]))
 }
 
-func briefOf(t *testing.T, data []byte) brief {
+func summaryOf(t *testing.T, data []byte) summary {
 	t.Helper()
-	got, ok := readBrief(bytes.NewReader(data), int64(len(data)), int64(binary.LittleEndian.Uint64(data[8:])), nil)
+	got, ok := readSummary(bytes.NewReader(data), int64(len(data)), int64(binary.LittleEndian.Uint64(data[8:])), nil)
 	require.True(t, ok)
 	return got
 }
 
-// An index with any byte flipped, cut anywhere, of another version, another segment's or gone is made again from its segment.
-func TestSpoiltIndexIsMadeAgain(t *testing.T) {
+// Guards against trusting a damaged index: one with any byte flipped, truncated anywhere, of another version or segment, or missing, is
+// rebuilt from its segment.
+func TestDamagedIndexIsRebuilt(t *testing.T) {
 	t.Parallel()
-	const room = plenty
+	const capacity = testCapacity
 	dir := filepath.Join(t.TempDir(), "whole")
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	want := rested(t, dir, room, 36)
+	want := populateSealed(t, dir, capacity, 36)
 	names := indexesOf(t, dir)
 	require.Greater(t, len(names), 2)
 	for _, at := range []int{0, len(names) / 2, len(names) - 1} {
 		whole, err := os.ReadFile(names[at])
 		require.NoError(t, err)
-		spoil := func(data []byte, what string, i int) {
-			next := spoilt(t, dir, filepath.Base(names[at]), data)
-			same(t, want, owedIn(t, next, room), "%s at byte %d of index %d", what, i, at)
+		damage := func(data []byte, what string, i int) {
+			next := copyWithFile(t, dir, filepath.Base(names[at]), data)
+			requireSame(t, want, pendingIn(t, next, capacity), "%s at byte %d of index %d", what, i, at)
 			if i%6 == 0 {
-				same(t, want, owedIn(t, next, room), "once more, %s at byte %d of index %d", what, i, at)
+				requireSame(t, want, pendingIn(t, next, capacity), "once more, %s at byte %d of index %d", what, i, at)
 			}
 			require.NoError(t, os.RemoveAll(next))
 		}
 		for i := range whole {
-			if at != len(names)/2 && i%9 > 0 { // one index at every byte, the others here and there
+			if at != len(names)/2 && i%9 > 0 { // every byte of one index, a sample of the others
 				continue
 			}
 			flipped := slices.Clone(whole)
 			flipped[i] ^= 1 << (i % 8)
-			spoil(flipped, "flipped", i)
+			damage(flipped, "flipped", i)
 			if i%7 == 0 {
-				spoil(whole[:i], "cut", i)
+				damage(whole[:i], "cut", i)
 			}
 		}
 		other := slices.Clone(whole)
 		other[6] = '9'
-		resum(t, other, briefOf(t, whole).shape)
-		spoil(other, "unknown version", 6)
+		updateChecksum(t, other, summaryOf(t, whole).layout)
+		damage(other, "unknown version", 6)
 		other, err = os.ReadFile(names[(at+1)%len(names)])
 		require.NoError(t, err)
-		spoil(other, "another's", 0)
+		damage(other, "of another segment", 0)
 	}
 	for _, name := range names {
 		require.NoError(t, os.Remove(name))
 	}
-	same(t, want, owedIn(t, dir, room), "another start")
+	requireSame(t, want, pendingIn(t, dir, capacity), "another start")
 }
 
-// records lists where each record of a segment begins, and where the last ends.
-func records(t *testing.T, data []byte) (at []int) {
+// recordOffsets lists where each record of a segment begins, and where the last one ends.
+func recordOffsets(t *testing.T, data []byte) (at []int) {
 	t.Helper()
-	rest := data[len(magic):]
+	rest := data[len(segmentMagic):]
 	for len(rest) > 0 {
 		at = append(at, len(data)-len(rest))
 		var record []byte
-		record, rest = next(rest)
+		record, rest = nextRecord(rest)
 		require.NotNil(t, record)
 	}
 	return append(at, len(data))
 }
 
-// spilledOf loads all, and gives the damage told.
-func spilledOf(t *testing.T, s *Spool) (got map[string]Message, damage []*DamagedError) {
+// loadEverything loads all spilled messages, and returns them with the reported damage.
+func loadEverything(t *testing.T, s *Spool) (got map[string]Message, damage []*DamagedError) {
 	t.Helper()
 	got = map[string]Message{}
-	for _, m := range s.Owed() {
-		got[m.ID] = plain(m)
+	for _, m := range s.Pending() {
+		got[m.ID] = persistentFields(m)
 	}
-	for _, dst := range s.SpilledTo() {
+	for _, dst := range s.SpilledDestinations() {
 		ms, err := s.Load(dst, 1000)
 		for _, m := range ms {
-			got[m.ID] = plain(m)
+			got[m.ID] = persistentFields(m)
 		}
-		damage = append(damage, damages(t, err)...)
+		damage = append(damage, damageErrors(t, err)...)
 	}
-	require.Zero(t, s.SpilledAll())
+	require.Zero(t, s.SpilledTotal())
 	return got, damage
 }
 
-func damages(t *testing.T, err error) (all []*DamagedError) {
+func damageErrors(t *testing.T, err error) (all []*DamagedError) {
 	t.Helper()
 	if err == nil {
 		return nil
@@ -164,7 +165,7 @@
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
 		for _, one := range joined.Unwrap() {
-			all = append(all, damages(t, one)...)
+			all = append(all, damageErrors(t, one)...)
 		}
 		return all
 	}
@@ -173,96 +174,96 @@
 	return append(all, one)
 }
 
-// A byte flipped anywhere in a sealed segment costs the message whose record it is in, is told once, and costs no other.
-func TestFlippedRecordCostsItsMessageAlone(t *testing.T) {
+// A byte flipped anywhere in a sealed segment loses only the message of that record, and the damage is reported once.
+func TestBitFlipLosesOnlyItsMessage(t *testing.T) {
 	t.Parallel()
-	const room = plenty
+	const capacity = testCapacity
 	dir := filepath.Join(t.TempDir(), "whole")
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	want := rested(t, dir, room, 36)
+	want := populateSealed(t, dir, capacity, 36)
 	name := filepath.Join(dir, "000000000002.seg")
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
-	at := records(t, whole)
-	for i := len(magic); i < len(whole); i++ {
+	at := recordOffsets(t, whole)
+	for i := len(segmentMagic); i < len(whole); i++ {
 		flipped := slices.Clone(whole)
 		flipped[i] ^= 1 << (i % 8)
-		next := spoilt(t, dir, filepath.Base(name), flipped)
-		s, notes, err := OpenBacklog(next, room)
+		next := copyWithFile(t, dir, filepath.Base(name), flipped)
+		s, notes, err := OpenBacklog(next, capacity)
 		require.NoError(t, err)
-		got, damage := spilledOf(t, s)
+		got, damage := loadEverything(t, s)
 		k, _ := slices.BinarySearch(at, i+1)
-		record := whole[at[k-1]+headSize : at[k]]
-		d := &decoder{left: record[1:]}
-		id := string(d.text())
+		record := whole[at[k-1]+headerSize : at[k]]
+		d := &decoder{rest: record[1:]}
+		id := string(d.bytes())
 		left := maps.Clone(want)
-		_, owed := want[id]
-		if owed && record[0] == recTaken {
+		_, pending := want[id]
+		if pending && record[0] == recAccepted {
 			delete(left, id)
 			require.Equal(t, 1, len(damage)+len(notes), "byte %d", i)
 			for _, e := range damage {
 				require.Equal(t, DamagedError{Segment: 2, Offset: int64(at[k-1]), Err: e.Err}, *e)
 			}
 		}
-		same(t, left, got, "byte %d", i)
-		_, again := spilledOf(t, s)
-		require.Empty(t, again, "told once")
+		requireSame(t, left, got, "byte %d", i)
+		_, again := loadEverything(t, s)
+		require.Empty(t, again, "reported once")
 		require.NoError(t, s.Close())
 		require.NoError(t, os.RemoveAll(next))
 	}
 }
 
-// A segment that was cut loses what stood behind the cut; without its index too, and then also what was said there of older messages.
-func TestTornSegmentLosesWhatIsTornAlone(t *testing.T) {
+// A truncated segment loses what was behind the cut. Without its index it also loses what its tail recorded about older messages.
+func TestTruncatedSegmentLosesOnlyItsTail(t *testing.T) {
 	t.Parallel()
-	const room = plenty
+	const capacity = testCapacity
 	dir := filepath.Join(t.TempDir(), "whole")
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	want := rested(t, dir, room, 36)
+	want := populateSealed(t, dir, capacity, 36)
 	name := filepath.Join(dir, "000000000003.seg")
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
-	at := records(t, whole)
-	for i := len(magic); i < len(whole); i++ {
+	at := recordOffsets(t, whole)
+	for i := len(segmentMagic); i < len(whole); i++ {
 		left := maps.Clone(want)
 		for k := range len(at) - 1 {
-			record := whole[at[k]+headSize : at[k+1]]
-			if d := (&decoder{left: record[1:]}); at[k+1] > i && record[0] == recTaken {
-				delete(left, string(d.text()))
+			record := whole[at[k]+headerSize : at[k+1]]
+			if d := (&decoder{rest: record[1:]}); at[k+1] > i && record[0] == recAccepted {
+				delete(left, string(d.bytes()))
 			}
 		}
-		next := spoilt(t, dir, filepath.Base(name), whole[:i])
-		got, _ := spilledOf(t, openRoom(t, next, room))
-		same(t, left, got, "cut at %d", i)
+		next := copyWithFile(t, dir, filepath.Base(name), whole[:i])
+		got, _ := loadEverything(t, openWithBacklog(t, next, capacity))
+		requireSame(t, left, got, "cut at %d", i)
 		require.NoError(t, os.RemoveAll(next))
 
-		next = spoilt(t, dir, filepath.Base(name), whole[:i])
-		old := idsOf(open(t, next, room).Owed())
+		next = copyWithFile(t, dir, filepath.Base(name), whole[:i])
+		old := idsOf(openSpool(t, next, capacity).Pending())
 		slices.Sort(old)
 		require.NoError(t, os.RemoveAll(next))
 
-		next = spoilt(t, dir, filepath.Base(name), whole[:i])
+		next = copyWithFile(t, dir, filepath.Base(name), whole[:i])
 		require.NoError(t, os.Remove(filepath.Join(next, "000000000003.idx")))
-		got, _ = spilledOf(t, openRoom(t, next, room))
-		require.Equal(t, old, slices.Sorted(maps.Keys(got)), "as by the old way, cut at %d", i)
+		got, _ = loadEverything(t, openWithBacklog(t, next, capacity))
+		require.Equal(t, old, slices.Sorted(maps.Keys(got)), "as without the backlog, cut at %d", i)
 		require.NoError(t, os.RemoveAll(next))
 	}
 }
 
-func TestUnknownSegmentIsLeftAloneAndTheOthersAreOwed(t *testing.T) {
-	const room = plenty
+func TestUnknownSegmentDoesNotAffectOthers(t *testing.T) {
+	const capacity = testCapacity
 	dir := filepath.Join(t.TempDir(), "whole")
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	want := rested(t, dir, room, 36)
+	want := populateSealed(t, dir, capacity, 36)
 	name := filepath.Join(dir, "000000000002.seg")
 	data, err := os.ReadFile(name)
 	require.NoError(t, err)
 	data[5] = '9'
 	require.NoError(t, os.WriteFile(name, data, 0o600))
-	s, notes, err := OpenBacklog(dir, room)
+	s, notes, err := OpenBacklog(dir, capacity)
 	require.NoError(t, err)
 	require.Len(t, notes, 1)
-	got, _ := spilledOf(t, s)
+	got, _ := loadEverything(t, s)
 	require.Less(t, len(got), len(want))
 	for id, m := range got {
 		require.Equal(t, want[id], m)
@@ -270,54 +271,54 @@
 	require.FileExists(t, name)
 }
 
-// A read that fails keeps the messages for the next start, and the others of their destination come.
-func TestFailedReadKeepsTheMessagesForTheNextStart(t *testing.T) {
-	const room = plenty
+// A read error keeps the messages for the next start, and the others of their destination are loaded.
+func TestReadErrorKeepsMessagesForNextStart(t *testing.T) {
+	const capacity = testCapacity
 	dir := filepath.Join(t.TempDir(), "whole")
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	want := rested(t, dir, room, 36)
-	s := openRoom(t, dir, room)
-	name, aside := filepath.Join(dir, "000000000002.seg"), filepath.Join(t.TempDir(), "aside")
-	require.NoError(t, os.Rename(name, aside))
-	require.NoError(t, os.Mkdir(name, 0o700)) // it opens, and a read of it fails
-	got, damage := spilledOf(t, s)
+	want := populateSealed(t, dir, capacity, 36)
+	s := openWithBacklog(t, dir, capacity)
+	name, moved := filepath.Join(dir, "000000000002.seg"), filepath.Join(t.TempDir(), "moved")
+	require.NoError(t, os.Rename(name, moved))
+	require.NoError(t, os.Mkdir(name, 0o700)) // opening it succeeds, reading it fails
+	got, damage := loadEverything(t, s)
 	require.NotEmpty(t, damage)
 	for _, e := range damage {
 		assert.Equal(t, int64(2), e.Segment)
-		require.NotErrorIs(t, e, errRecord)
+		require.NotErrorIs(t, e, errBadRecord)
 	}
 	require.Equal(t, len(want), len(got)+len(damage))
-	require.False(t, s.forward(s.numbered(2)), "what is kept for the next start keeps its segment")
+	require.False(t, s.copyForward(s.segmentByNumber(2)), "messages kept for the next start keep their segment")
 	require.NoError(t, s.Close())
 	require.NoError(t, os.Remove(name))
-	require.NoError(t, os.Rename(aside, name))
-	same(t, want, owedIn(t, dir, room), "another start")
+	require.NoError(t, os.Rename(moved, name))
+	requireSame(t, want, pendingIn(t, dir, capacity), "another start")
 }
 
-// shift spoils what the index of a segment says of where records stand.
-func shift(t *testing.T, name string) {
+// corruptOffsets changes the record offsets in the index of a segment.
+func corruptOffsets(t *testing.T, name string) {
 	t.Helper()
 	data, err := os.ReadFile(name)
 	require.NoError(t, err)
-	p := briefOf(t, data).shape
+	p := summaryOf(t, data).layout
 	for pos := range p.entries {
 		data[p.entryAt(pos)+40] ^= 1 // its offset
 	}
 	require.NoError(t, os.WriteFile(name, data, 0o600))
 }
 
-// The body of an index that was spoilt before anything was looked for in it is made again, whoever comes first.
-func TestSpoiltBodyIsMadeAgainByWhoeverComesFirst(t *testing.T) {
+// Every operation that reads an index body rebuilds it first if it was damaged before its first use.
+func TestDamagedIndexBodyIsRebuiltOnFirstUse(t *testing.T) {
 	dir := t.TempDir()
-	want := rested(t, dir, plenty, 36)
+	want := populateSealed(t, dir, testCapacity, 36)
 	name := filepath.Join(dir, "000000000002.idx")
 	all := func(*Message) bool { return true }
 	for what, call := range map[string]func(s *Spool) error{
 		"load":     func(s *Spool) error { _, err := s.Load(1, 1000); return err },
-		"due":      func(s *Spool) error { _, err := s.LoadDue(never, 1000); return err },
+		"expiring": func(s *Spool) error { _, err := s.LoadExpiring(noExpiry, 1000); return err },
 		"matching": func(s *Spool) error { _, err := s.LoadMatching(all, 1000); return err },
-		"owing":    func(s *Spool) error { s.Owing(all); return nil },
-		"forward":  func(s *Spool) error { require.True(t, s.forward(s.numbered(2))); return nil },
+		"pending":  func(s *Spool) error { s.PendingMatching(all); return nil },
+		"copy":     func(s *Spool) error { require.True(t, s.copyForward(s.segmentByNumber(2))); return nil },
 		"has": func(s *Spool) error {
 			for id, m := range want {
 				require.Equal(t, !m.Ended, s.Has(id), id)
@@ -325,89 +326,90 @@
 			return nil
 		},
 	} {
-		next := copied(t, dir)
-		spoiltName := filepath.Join(next, filepath.Base(name))
-		shift(t, spoiltName)
-		s := openRoom(t, next, plenty)
+		next := copyFolder(t, dir)
+		damagedName := filepath.Join(next, filepath.Base(name))
+		corruptOffsets(t, damagedName)
+		s := openWithBacklog(t, next, testCapacity)
 		require.NoError(t, call(s), what)
-		data, err := os.ReadFile(spoiltName)
+		data, err := os.ReadFile(damagedName)
 		require.NoError(t, err)
-		require.True(t, bodyWhole(data[briefOf(t, data).bodyAt():]), what)
+		require.True(t, bodyIntact(data[summaryOf(t, data).bodyAt():]), what)
 		require.NoError(t, s.Close())
-		same(t, want, owedIn(t, next, plenty), "after %s", what)
+		requireSame(t, want, pendingIn(t, next, testCapacity), "after %s", what)
 	}
 }
 
-// With the segment cut as well, what stands behind the cut is lost, and told.
-func TestSpoiltBodyOfATornSegment(t *testing.T) {
+// If the segment is truncated as well, what was behind the cut is lost, and reported.
+func TestDamagedIndexBodyOfTruncatedSegment(t *testing.T) {
 	dir := t.TempDir()
-	want := rested(t, dir, plenty, 36)
-	shift(t, filepath.Join(dir, "000000000002.idx"))
+	want := populateSealed(t, dir, testCapacity, 36)
+	corruptOffsets(t, filepath.Join(dir, "000000000002.idx"))
 	name := filepath.Join(dir, "000000000002.seg")
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
-	at := records(t, whole)
+	at := recordOffsets(t, whole)
 	cut := at[len(at)/2]
 	require.NoError(t, os.WriteFile(name, whole[:cut], 0o600))
 	left := maps.Clone(want)
 	for k := len(at) / 2; k < len(at)-1; k++ {
-		record := whole[at[k]+headSize : at[k+1]]
-		if d := (&decoder{left: record[1:]}); record[0] == recTaken {
-			delete(left, string(d.text()))
+		record := whole[at[k]+headerSize : at[k+1]]
+		if d := (&decoder{rest: record[1:]}); record[0] == recAccepted {
+			delete(left, string(d.bytes()))
 		}
 	}
-	s := openRoom(t, dir, plenty)
+	s := openWithBacklog(t, dir, testCapacity)
 	count := 0
-	got, damage := spilledOf(t, s)
-	same(t, left, got, "cut at %d", cut)
+	got, damage := loadEverything(t, s)
+	requireSame(t, left, got, "cut at %d", cut)
 	for _, e := range damage {
-		require.ErrorIs(t, e, errRecord)
+		require.ErrorIs(t, e, errBadRecord)
 		count++
 	}
 	require.Positive(t, count)
-	owed, live := 0, int64(0)
-	for _, seg := range s.order {
-		owed, live = owed+seg.owed, live+seg.live
+	pending, live := 0, int64(0)
+	for _, seg := range s.segments {
+		pending, live = pending+seg.pending, live+seg.liveBytes
 	}
-	require.Equal(t, len(got), owed)
-	require.Equal(t, s.live, live)
+	require.Equal(t, len(got), pending)
+	require.Equal(t, s.liveBytes, live)
 }
 
-// An index spoilt after it was found whole costs nothing: what it misnames is kept for the next start, which makes it again.
-func TestIndexSpoiltMeanwhileLosesNothing(t *testing.T) {
+// An index damaged after it was verified loses nothing: messages at wrong positions are kept for the next start, which rebuilds the
+// index.
+func TestIndexDamagedAfterVerificationLosesNothing(t *testing.T) {
 	dir := t.TempDir()
-	want := rested(t, dir, plenty, 36)
-	s := openRoom(t, dir, plenty)
-	_, err := s.check(s.numbered(2))
+	want := populateSealed(t, dir, testCapacity, 36)
+	s := openWithBacklog(t, dir, testCapacity)
+	_, err := s.verifyIndex(s.segmentByNumber(2))
 	require.NoError(t, err)
-	shift(t, filepath.Join(dir, "000000000002.idx"))
-	got, damage := spilledOf(t, s)
+	corruptOffsets(t, filepath.Join(dir, "000000000002.idx"))
+	got, damage := loadEverything(t, s)
 	require.NotEmpty(t, damage)
 	require.Equal(t, len(want), len(got)+len(damage))
 	require.NoError(t, s.Close())
-	same(t, want, owedIn(t, dir, plenty), "another start")
+	requireSame(t, want, pendingIn(t, dir, testCapacity), "another start")
 }
 
-// A start that looks for a message by its id, in an index whose body is broken, makes that again first.
-func TestStartThatNeedsASpoiltBody(t *testing.T) {
+// A start that looks up a message by ID in an index with a damaged body rebuilds that index first.
+func TestStartRebuildsDamagedIndexBody(t *testing.T) {
 	dir := t.TempDir()
-	s, w := small(t, dir, plenty, 900), newModel()
+	s, w := openSmallSegments(t, dir, testCapacity, 900), newModel()
 	var early *Message
 	for i := range 30 {
-		m := addressed(fmt.Sprint("m", i), 1, 30)
+		m := newMessageTo(fmt.Sprint("m", i), 1, 30)
 		if i == 3 {
-			require.NoError(t, s.Take(m)) // nothing but this stands in the open states to come
-			early, w.working[m.ID] = m, m
+			require.NoError(t, s.Accept(m)) // the only message with a state in the next index
+			early, w.active[m.ID] = m, m
 			continue
 		}
 		require.NoError(t, s.Spill(m))
-		w.spilled[m.ID] = plain(m)
+		w.spilled[m.ID] = persistentFields(m)
 	}
-	require.NotEqual(t, s.now(), early.segment)
-	require.NoError(t, s.Leg(early, Leg{SentAt: 8}))
-	shift(t, s.indexPath(early.segment))
-	again := openRoom(t, copied(t, dir), plenty)
+	require.NotEqual(t, s.newestSegment(), early.segment)
+	require.NoError(t, s.AddLeg(early, Leg{SentAt: 8}))
+	corruptOffsets(t, s.indexPath(early.segment))
+	again := openWithBacklog(t, copyFolder(t, dir), testCapacity)
 	w.restart(t, again)
 	w.check(t, again)
-	same(t, w.all(), owedIn(t, dir, plenty), "loaded")
+	requireSame(t, w.all(), pendingIn(t, dir, testCapacity), "loaded")
 }
--- a/internal/spool/filter.go
+++ b/internal/spool/filter.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bitmap holds one bit a slot.
+// bitmap holds one bit per slot.
 type bitmap []uint64
 
 func bitmapLen(n uint32) int { return (int(n) + 63) / 64 }
@@ -22,7 +22,7 @@
 
 func (b bitmap) has(i uint32) bool { return int(i/64) < len(b) && b[i/64]>>(i%64)&1 != 0 }
 
-// set sets a bit, and tells whether it changed.
+// set sets a bit, and reports whether it changed.
 func (b bitmap) set(i uint32) bool {
 	if int(i/64) >= len(b) || b.has(i) {
 		return false
@@ -31,7 +31,7 @@
 	return true
 }
 
-// clear clears a bit, and tells whether it changed.
+// clear clears a bit, and reports whether it changed.
 func (b bitmap) clear(i uint32) bool {
 	if !b.has(i) {
 		return false
@@ -41,59 +41,59 @@
 }
 
 const (
-	filterBits  = 20  // a message
-	filterWords = 8   // a block: one line of the processor's cache
-	filterMarks = 8   // bits set a message, all in one block
-	markBits    = 9   // that tell one bit of a block
-	blockBits   = 512 // of these words
+	filterBitsPerID  = 20
+	filterBlockWords = 8   // one cache line of the processor
+	filterHashes     = 8   // bits set per ID, all in one block
+	filterHashBits   = 9   // bits of the hash that select one bit of a block
+	filterBlockBits  = 512 // = filterBlockWords * 64
 )
 
-// filter is a blocked Bloom filter of ids. Of ids that are not there fewer than one in a thousand pass: with hundreds of segments each that
-// passes costs a hand-in a look into a file.
+// filter is a blocked Bloom filter of IDs. The false-positive rate is below one in a thousand: with hundreds of segments, each false
+// positive costs a hand-in a file access.
 type filter []uint64
 
-func filterLen(n int) int { return (n*filterBits/blockBits + 1) * filterWords }
+func filterLen(n int) int { return (n*filterBitsPerID/filterBlockBits + 1) * filterBlockWords }
 
 func newFilter(n int) filter { return make(filter, filterLen(n)) }
 
 func (f filter) block(h uint64) []uint64 {
-	at := int((h>>32)*uint64(len(f)/filterWords)>>32) * filterWords
-	return f[at : at+filterWords]
+	at := int((h>>32)*uint64(len(f)/filterBlockWords)>>32) * filterBlockWords
+	return f[at : at+filterBlockWords]
 }
 
-// mark is the i-th bit of a hash in its block. Seven come from one mixing of it, the last from another.
-func mark(h uint64, i int) (word, bit uint64) {
-	v := h * 0x9e3779b97f4a7c15 >> (i * markBits)
-	if i == filterMarks-1 {
-		v = (h ^ h>>29) * 0xbf58476d1ce4e5b9 >> (64 - markBits)
+// filterBit returns the i-th bit of a hash within its block. The first seven come from one mix of the hash, the last from another.
+func filterBit(h uint64, i int) (word, bit uint64) {
+	v := h * 0x9e3779b97f4a7c15 >> (i * filterHashBits)
+	if i == filterHashes-1 {
+		v = (h ^ h>>29) * 0xbf58476d1ce4e5b9 >> (64 - filterHashBits)
 	}
-	return v & (filterWords - 1), v >> 3 & 63
+	return v & (filterBlockWords - 1), v >> 3 & 63
 }
 
 func (f filter) add(h uint64) {
 	block := f.block(h)
-	for i := range filterMarks {
-		word, bit := mark(h, i)
+	for i := range filterHashes {
+		word, bit := filterBit(h, i)
 		block[word] |= 1 << bit
 	}
 }
 
-func (f filter) may(h uint64) bool {
+func (f filter) mayContain(h uint64) bool {
 	if len(f) == 0 {
 		return false
 	}
 	block := f.block(h)
-	for i := range filterMarks {
-		if word, bit := mark(h, i); block[word]>>bit&1 == 0 {
+	for i := range filterHashes {
+		if word, bit := filterBit(h, i); block[word]>>bit&1 == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func hashOf(id string) uint64 { return xxhash.Sum64String(id) }
+func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// hashKey is 0 for no order key, and for that alone.
+// hashKey returns 0 only for the empty order key.
 func hashKey(key string) uint64 {
 	if key == "" {
 		return 0
--- a/internal/spool/forward.go
+++ b/internal/spool/forward.go
@@ -7,134 +7,137 @@
 )
 
 const (
-	mostCompact = 2  // segments that a call which takes one on copies forward, with the backlog on: what it may take is bounded by that
-	leastDead   = 16 // one in so many bytes of the room is to be dead, or copying would win nothing back
+	maxCompactSegments = 2  // segments copied forward by a call that accepts a message, with the backlog enabled: bounds its duration
+	minDeadDivisor     = 16 // at least one in this many bytes of the capacity has to be dead, or copying would free nothing
 )
 
-// mayCompact is how many segments a call that takes a message on may copy forward to make room.
-func (s *Spool) mayCompact() int {
+// compactLimit returns how many segments a call that accepts a message may copy forward to make space.
+func (s *Spool) compactLimit() int {
 	if s.backlog == nil {
-		return len(s.order)
+		return len(s.segments)
 	}
-	dead := -s.live
-	for _, seg := range s.order {
+	dead := -s.liveBytes
+	for _, seg := range s.segments {
 		dead += seg.size
 	}
-	if dead < s.room/leastDead {
+	if dead < s.capacity/minDeadDivisor {
 		return 0
 	}
-	return mostCompact
+	return maxCompactSegments
 }
 
-// noteRoom sees to it that a record of a message fits that is owed already. With the backlog on, room is won back while there is enough
-// left to copy a segment. Danger: later, the notes of many messages that are loaded and end could find no room, nor could any copy.
-func (s *Spool) noteRoom(n int64) error {
+// ensureSpaceForUpdate makes space for a record of a message that is already pending. With the backlog enabled, space is reclaimed while
+// there is still enough to copy a segment. Any later, the records of many messages that are loaded and end might find no space,
+// and neither would a copy.
+func (s *Spool) ensureSpaceForUpdate(n int64) error {
 	if s.backlog == nil {
-		if !s.fits(n, s.room) && !s.compact(n, s.room) {
+		if !s.fits(n, s.capacity) && !s.compact(n, s.capacity) {
 			return ErrFull
 		}
 		return nil
 	}
-	if spare := n + s.spare(); !s.fits(spare, s.room) {
-		s.compactSome(spare, s.room, s.mayCompact())
+	if needed := n + s.copyReserve(); !s.fits(needed, s.capacity) {
+		s.compactSome(needed, s.capacity, s.compactLimit())
 	}
-	if !s.fitsBare(n) && !s.compactSome(n, s.room, len(s.order)) && !s.fitsBare(n) {
+	if !s.fitsWithoutIndexes(n) && !s.compactSome(n, s.capacity, len(s.segments)) && !s.fitsWithoutIndexes(n) {
 		return ErrFull
 	}
 	return nil
 }
 
-// spare is what has to be free for a copy of a segment, its index and what tells that the old ones are dead, in bytes, and for what is
-// written until enough is dead to be won back.
-func (s *Spool) spare() int64 { return s.segmentSize()*5/2 + s.room/leastDead + 8*block }
+// copyReserve is the space in bytes for the copy of a segment, its index and the dead entries of the old one, plus what is written until
+// enough is dead to be reclaimed.
+func (s *Spool) copyReserve() int64 {
+	return s.segmentLimit()*5/2 + s.capacity/minDeadDivisor + 8*blockSize
+}
 
-// within is the part of the room that messages may take which are not owed yet.
-func (s *Spool) within() int64 {
-	kept := s.room / reserve
+// newMessageLimit is the part of the capacity that new messages may use.
+func (s *Spool) newMessageLimit() int64 {
+	reserved := s.capacity / reserveDivisor
 	if s.backlog != nil {
-		kept = max(kept, s.spare())
+		reserved = max(reserved, s.copyReserve())
 	}
-	return s.room - kept
+	return s.capacity - reserved
 }
 
-// removeIndex removes the index of a segment that is to go: first, so that none is left without its segment.
+// removeIndex removes the index of a segment before the segment itself, so that no index is left without its segment.
 func (s *Spool) removeIndex(seg *segment) bool {
-	s.backlog.step()
+	s.backlog.crashPoint()
 	if err := os.Remove(s.indexPath(seg)); err != nil && !os.IsNotExist(err) {
 		return false
 	}
-	s.backlog.step()
+	s.backlog.crashPoint()
 	return true
 }
 
-// gone counts a segment out that was removed.
-func (s *Spool) gone(seg *segment) {
+// accountRemoval updates the totals after a segment was removed.
+func (s *Spool) accountRemoval(seg *segment) {
 	b := s.backlog
 	if r := seg.sealed; r != nil {
-		b.weigh(seg, -1)
+		b.addUsage(seg, -1)
 		if r.image != nil {
-			b.waiting--
+			b.unwritten--
 		}
 	}
 	if b.newest != nil {
-		b.newest.dead = slices.DeleteFunc(b.newest.dead, func(d dead) bool { return d.segment <= seg.number })
+		b.newest.dead = slices.DeleteFunc(b.newest.dead, func(d deadEntry) bool { return d.segment <= seg.number })
 	}
-	b.step()
+	b.crashPoint()
 }
 
-// forwardBoth copies what is owed of a segment to the newest one: what is working, then what is spilled.
-func (s *Spool) forwardBoth(old *segment) bool {
-	if s.crowded() || !s.fitsBare(old.live) { // half a copy would win nothing back
+// copyForwardWithIndex copies the pending messages of a segment to the newest one: active messages, then spilled ones.
+func (s *Spool) copyForwardWithIndex(old *segment) bool {
+	if s.tooManyUnwritten() || !s.fitsWithoutIndexes(old.liveBytes) { // a partial copy would free nothing
 		return false
 	}
-	for _, m := range s.owed {
-		if m.segment == old && !s.forwardWorking(m) {
+	for _, m := range s.pending {
+		if m.segment == old && !s.copyActive(m) {
 			return false
 		}
 	}
-	if r := old.sealed; r != nil && r.left > 0 && !s.forwardSpilled(old) {
+	if r := old.sealed; r != nil && r.spilledCount > 0 && !s.copySpilled(old) {
 		return false
 	}
-	return old.owed == 0
+	return old.pending == 0
 }
 
-func (s *Spool) forwardWorking(m *Message) bool {
-	record := m.record()
+func (s *Spool) copyActive(m *Message) bool {
+	record := m.encode()
 	n := int64(len(record))
-	if m.drawn {
-		record = append(record, begin(recDrawn, m.ID).number(0).number(0).number(0).number(0).seal()...)
+	if m.loaded {
+		record = append(record, newRecord(recLoaded, m.ID).varint(0).varint(0).varint(0).varint(0).finish()...)
 	}
-	all := int64(len(record))
-	if !s.fitsBare(all) || s.append(record) != nil {
+	total := int64(len(record))
+	if !s.fitsWithoutIndexes(total) || s.appendRecord(record) != nil {
 		return false
 	}
-	s.lift(m)
-	s.stand(m, s.now(), s.now().size-all, n)
+	s.unplace(m)
+	s.placeInNewest(m, s.newestSegment(), s.newestSegment().size-total, n)
 	return true
 }
 
-// forwardSpilled walks the segment's own entries, and copies the records of those spilled as they are.
-func (s *Spool) forwardSpilled(old *segment) bool {
-	if _, err := s.check(old); err != nil {
+// copySpilled iterates over the segment's own entries, and copies the records of the spilled ones unchanged.
+func (s *Spool) copySpilled(old *segment) bool {
+	if _, err := s.verifyIndex(old); err != nil {
 		return false
 	}
-	index, err := s.index(old)
+	index, err := s.openIndex(old)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = index.Close() }()
-	f, err := os.Open(s.path(old))
+	f, err := os.Open(s.segmentPath(old))
 	if err != nil {
 		return false
 	}
 	defer func() { _ = f.Close() }()
 	page := make([]entry, pageEntries)
-	for pos := uint32(0); pos < old.sealed.shape.entries && old.sealed.left > 0; pos += uint32(len(page)) {
-		if page, err = readEntries(index, old.sealed.shape, pos, page); err != nil {
+	for pos := uint32(0); pos < old.sealed.layout.entries && old.sealed.spilledCount > 0; pos += uint32(len(page)) {
+		if page, err = readEntries(index, old.sealed.layout, pos, page); err != nil {
 			return false
 		}
 		for i := range page {
-			if e := &page[i]; old.sealed.spilled.has(e.slot) && !s.moveSpilled(old, f, e) {
+			if e := &page[i]; old.sealed.spilled.has(e.slot) && !s.copySpilledEntry(old, f, e) {
 				return false
 			}
 		}
@@ -142,24 +145,24 @@
 	return true
 }
 
-func (s *Spool) moveSpilled(old *segment, f io.ReaderAt, e *entry) bool {
+func (s *Spool) copySpilledEntry(old *segment, f io.ReaderAt, e *entry) bool {
 	m, err := readMessageAt(f, e)
 	if err != nil {
-		s.lose(old, e, err)
+		s.dropDamaged(old, e, err)
 		return true
 	}
-	record := m.record()
+	record := m.encode()
 	n := int64(len(record))
 	if len(m.Legs) > 0 {
-		record = append(record, begin(recRested, m.ID).seal()...)
+		record = append(record, newRecord(recSpilled, m.ID).finish()...)
 	}
-	all := int64(len(record))
-	if !s.fitsBare(all) || s.append(record) != nil {
+	total := int64(len(record))
+	if !s.fitsWithoutIndexes(total) || s.appendRecord(record) != nil {
 		return false
 	}
-	s.overSpilled(old, e)
-	s.stand(m, s.now(), s.now().size-all, n)
-	s.rest(m)
-	s.backlog.moved++
+	s.dropSpilled(old, e)
+	s.placeInNewest(m, s.newestSegment(), s.newestSegment().size-total, n)
+	s.markSpilled(m)
+	s.backlog.copied++
 	return true
 }
--- a/internal/spool/index.go
+++ b/internal/spool/index.go
@@ -11,46 +11,46 @@
 	"slices"
 )
 
-// The index file of a sealed segment: a head, the brief, which a start reads, and the body, which is read in parts once something is looked
-// for. Brief and body end in a CRC-32 each. All numbers but the states are little-endian and of fixed size.
+// An index file of a sealed segment has a header, a summary, which is read at start, and a body, which is read in parts when entries are
+// looked up. Summary and body each end in a CRC-32. All numbers except the states are little-endian and of fixed size.
 const (
-	indexMagic     = "rvlidx1\n"
-	indexExtension = ".idx"
-	unfinished     = ".tmp" // behind the name while it is written
-	indexHead      = 64     // bytes
-	runSize        = 24     // bytes
-	keySize        = 20     // bytes
-	deadSize       = 32     // bytes
-	entrySize      = 56     // bytes
-	sumSize        = 4      // bytes
+	indexMagic      = "rvlidx1\n"
+	indexExtension  = ".idx"
+	tmpSuffix       = ".tmp" // suffix of the file name until it is complete
+	indexHeaderSize = 64     // bytes
+	runSize         = 24     // bytes
+	keySize         = 20     // bytes
+	deadEntrySize   = 32     // bytes
+	entrySize       = 56     // bytes
+	checksumSize    = 4      // bytes
 )
 
-var errIndex = errors.New("spool: no whole index")
+var errBadIndex = errors.New("spool: index is missing or damaged")
 
-// entry is what an index tells of a message whose newest taken record stands in its segment.
+// entry describes a message whose newest accepted record is in the segment.
 type entry struct {
-	dst, expires, taken int64
-	id, key             uint64 // hashes; key 0 for none
-	offset              int64  // bytes, of the record with its head
-	length              uint32 // bytes
-	slot                uint32 // so many taken records stand in front of this one in the segment
+	dst, expires, seq int64
+	id, key           uint64 // hashes; key is 0 for none
+	offset            int64  // bytes, of the record including its header
+	length            uint32 // bytes
+	slot              uint32 // number of accepted records before this one in the segment
 }
 
-func (e *entry) put(b []byte) []byte {
-	b = put64(b, e.dst, e.expires, e.taken, int64(e.id), int64(e.key), e.offset)
+func (e *entry) appendTo(b []byte) []byte {
+	b = put64(b, e.dst, e.expires, e.seq, int64(e.id), int64(e.key), e.offset)
 	return put32(b, e.length, e.slot)
 }
 
-func (e *entry) get(b []byte) {
+func (e *entry) decode(b []byte) {
 	le := binary.LittleEndian
-	e.dst, e.expires, e.taken = int64(le.Uint64(b)), int64(le.Uint64(b[8:])), int64(le.Uint64(b[16:]))
+	e.dst, e.expires, e.seq = int64(le.Uint64(b)), int64(le.Uint64(b[8:])), int64(le.Uint64(b[16:]))
 	e.id, e.key = le.Uint64(b[24:]), le.Uint64(b[32:])
 	e.offset, e.length, e.slot = int64(le.Uint64(b[40:])), le.Uint32(b[48:]), le.Uint32(b[52:])
 }
 
-// compare is the order within a destination.
+// compare orders the entries of one destination.
 func (e *entry) compare(o *entry) int {
-	return cmp.Or(cmp.Compare(e.taken, o.taken), cmp.Compare(e.expires, o.expires), cmp.Compare(e.slot, o.slot))
+	return cmp.Or(cmp.Compare(e.seq, o.seq), cmp.Compare(e.expires, o.expires), cmp.Compare(e.slot, o.slot))
 }
 
 func put64(b []byte, all ...int64) []byte {
@@ -67,65 +67,65 @@
 	return b
 }
 
-// dead is a taken record of an older segment that is owed no more, or no more there, and what the counts need to know of it.
-type dead struct {
+// deadEntry is an accepted record of an older segment that was completed or moved, with the fields needed to update the counts.
+type deadEntry struct {
 	segment int64
-	entry   // slot, length, dst and key alone
+	entry   // only slot, length, dst and key
 }
 
-func (d *dead) put(b []byte) []byte {
+func (d *deadEntry) appendTo(b []byte) []byte {
 	return put32(put64(b, d.segment, d.dst, int64(d.key)), d.slot, d.length)
 }
 
-func (d *dead) get(b []byte) {
+func (d *deadEntry) decode(b []byte) {
 	le := binary.LittleEndian
 	d.segment, d.dst, d.key = int64(le.Uint64(b)), int64(le.Uint64(b[8:])), le.Uint64(b[16:])
 	d.slot, d.length = le.Uint32(b[24:]), le.Uint32(b[28:])
 }
 
-// shape tells how many of each thing an index holds, and so where each stands.
-type shape struct {
+// layout holds the number of items of each kind in an index, and thereby their offsets.
+type layout struct {
 	slots, entries, runs, keys, dead, states uint32 // states: bytes
 }
 
-func (p shape) keysAt() int64      { return indexHead + int64(p.runs)*runSize }
-func (p shape) filterAt() int64    { return p.keysAt() + int64(p.keys)*keySize }
-func (p shape) bitsAt() int64      { return p.filterAt() + int64(filterLen(int(p.entries)))*8 }
-func (p shape) deadAt() int64      { return p.bitsAt() + int64(bitmapLen(p.slots))*8 }
-func (p shape) statesAt() int64    { return p.deadAt() + int64(p.dead)*deadSize }
-func (p shape) statesEnd() int64   { return p.statesAt() + int64(p.states) }
-func (p shape) bodyAt() int64      { return p.statesEnd() + sumSize }
-func (p shape) byExpiresAt() int64 { return p.entryAt(p.entries) }
-func (p shape) byIDAt() int64      { return p.byExpiresAt() + int64(p.entries)*4 }
-func (p shape) size() int64        { return p.byIDAt() + int64(p.entries)*8 + sumSize }
-
-func (p shape) entryAt(pos uint32) int64 { return p.bodyAt() + int64(pos)*entrySize }
-
-// contents is what an index is made of.
-type contents struct {
+func (p layout) keysAt() int64      { return indexHeaderSize + int64(p.runs)*runSize }
+func (p layout) filterAt() int64    { return p.keysAt() + int64(p.keys)*keySize }
+func (p layout) bitsAt() int64      { return p.filterAt() + int64(filterLen(int(p.entries)))*8 }
+func (p layout) deadAt() int64      { return p.bitsAt() + int64(bitmapLen(p.slots))*8 }
+func (p layout) statesAt() int64    { return p.deadAt() + int64(p.dead)*deadEntrySize }
+func (p layout) statesEnd() int64   { return p.statesAt() + int64(p.states) }
+func (p layout) bodyAt() int64      { return p.statesEnd() + checksumSize }
+func (p layout) byExpiresAt() int64 { return p.entryAt(p.entries) }
+func (p layout) byIDAt() int64      { return p.byExpiresAt() + int64(p.entries)*4 }
+func (p layout) size() int64        { return p.byIDAt() + int64(p.entries)*8 + checksumSize }
+
+func (p layout) entryAt(pos uint32) int64 { return p.bodyAt() + int64(pos)*entrySize }
+
+// indexContents is the data from which an index is encoded.
+type indexContents struct {
 	number, size int64 // of the segment
 	slots        uint32
-	entries      []entry // by destination, and within it in the order taken on
-	dead         []dead
+	entries      []entry // by destination, and by acceptance within each
+	dead         []deadEntry
 	states       []byte
 }
 
-func (c *contents) encode() ([]byte, shape) {
+func (c *indexContents) encode() ([]byte, layout) {
 	runs, keys := runsOf(c.entries), keysOf(c.entries)
-	p := shape{slots: c.slots, entries: uint32(len(c.entries)), runs: uint32(len(runs)), keys: uint32(len(keys)),
+	p := layout{slots: c.slots, entries: uint32(len(c.entries)), runs: uint32(len(runs)), keys: uint32(len(keys)),
 		dead: uint32(len(c.dead)), states: uint32(len(c.states))}
-	due, bytes := never, int64(0)
+	minExpiry, recordBytes := noExpiry, int64(0)
 	f, bits := newFilter(len(c.entries)), newBitmap(c.slots)
 	for i := range c.entries {
 		e := &c.entries[i]
-		due, bytes = min(due, e.expires), bytes+int64(e.length)
+		minExpiry, recordBytes = min(minExpiry, e.expires), recordBytes+int64(e.length)
 		f.add(e.id)
 		bits.set(e.slot)
 	}
 	b := append(make([]byte, 0, p.size()), indexMagic...)
-	b = put32(put64(b, c.number, c.size, due, bytes), p.slots, p.entries, p.runs, p.keys, p.dead, p.states)
+	b = put32(put64(b, c.number, c.size, minExpiry, recordBytes), p.slots, p.entries, p.runs, p.keys, p.dead, p.states)
 	for _, r := range runs {
-		b = put32(put64(b, r.dst, r.taken), r.first, r.count)
+		b = put32(put64(b, r.dst, r.firstSeq), r.first, r.count)
 	}
 	for _, k := range keys {
 		b = put32(put64(b, int64(k.key), k.dst), k.count)
@@ -136,17 +136,17 @@
 		}
 	}
 	for i := range c.dead {
-		b = c.dead[i].put(b)
+		b = c.dead[i].appendTo(b)
 	}
 	b = append(b, c.states...)
 	b = put32(b, crc32.ChecksumIEEE(b))
 	return c.encodeBody(b), p
 }
 
-func (c *contents) encodeBody(b []byte) []byte {
+func (c *indexContents) encodeBody(b []byte) []byte {
 	from := len(b)
 	for i := range c.entries {
-		b = c.entries[i].put(b)
+		b = c.entries[i].appendTo(b)
 	}
 	for _, v := range byExpires(c.entries) {
 		b = put32(b, v.pos)
@@ -157,24 +157,24 @@
 	return put32(b, crc32.ChecksumIEEE(b[from:]))
 }
 
-// indexRun is a destination's part of the entries.
+// indexRun is the range of a destination's entries.
 type indexRun struct {
-	dst, taken   int64 // taken: of the first
-	first, count uint32
+	dst, firstSeq int64 // firstSeq: of the first entry
+	first, count  uint32
 }
 
 func runsOf(entries []entry) (runs []indexRun) {
 	for i := range entries {
 		e := &entries[i]
 		if k := len(runs); k == 0 || runs[k-1].dst != e.dst {
-			runs = append(runs, indexRun{dst: e.dst, taken: e.taken, first: uint32(i)})
+			runs = append(runs, indexRun{dst: e.dst, firstSeq: e.seq, first: uint32(i)})
 		}
 		runs[len(runs)-1].count++
 	}
 	return runs
 }
 
-// indexKey counts entries of an order key to a destination.
+// indexKey counts the entries with an order key for a destination.
 type indexKey struct {
 	key   uint64
 	dst   int64
@@ -205,7 +205,7 @@
 	pos uint32
 }
 
-// byExpires lists positions of entries in the order in which these expire.
+// byExpires lists positions of entries in the order of their expiry.
 func byExpires(entries []entry) []expiry {
 	all := make([]expiry, len(entries))
 	for i := range entries {
@@ -215,7 +215,7 @@
 	return all
 }
 
-// byID lists them by the upper half of the hash of their ids: that half, and the position in the lower one.
+// byID sorts entries by the upper half of their ID hash. Each item holds that half, and the position in its lower half.
 func byID(entries []entry) []uint64 {
 	all := make([]uint64, len(entries))
 	for i := range entries {
@@ -225,80 +225,80 @@
 	return all
 }
 
-// brief is the front part of an index, whole.
-type brief struct {
-	shape
-	due, bytes int64 // earliest Expires (µs since 1970) and bytes of the records of its entries
-	data       []byte
+// summary is the front part of an index, after verification.
+type summary struct {
+	layout
+	minExpiry, recordBytes int64 // earliest Expires (µs since 1970), and bytes of the entries' records
+	data                   []byte
 }
 
-// readBrief reads that part of an index of so many bytes. It stands in the buffer given, if that is large enough. Danger: only a shape that
-// fits the file's size is believed, or a flipped bit would ask for any amount of memory.
-func readBrief(f io.ReaderAt, size, number int64, buf []byte) (t brief, ok bool) {
-	head := make([]byte, indexHead)
-	if _, err := f.ReadAt(head, 0); err != nil || string(head[:len(indexMagic)]) != indexMagic {
-		return t, false
+// readSummary reads and verifies the summary of an index of the given size, using buf if it is large enough. A layout is used
+// only if it matches the file's size, since a flipped bit could otherwise request any amount of memory.
+func readSummary(f io.ReaderAt, size, number int64, buf []byte) (sum summary, ok bool) {
+	header := make([]byte, indexHeaderSize)
+	if _, err := f.ReadAt(header, 0); err != nil || string(header[:len(indexMagic)]) != indexMagic {
+		return sum, false
 	}
 	le := binary.LittleEndian
-	t.due, t.bytes = int64(le.Uint64(head[24:])), int64(le.Uint64(head[32:]))
-	t.shape = shape{slots: le.Uint32(head[40:]), entries: le.Uint32(head[44:]), runs: le.Uint32(head[48:]), keys: le.Uint32(head[52:]),
-		dead: le.Uint32(head[56:]), states: le.Uint32(head[60:])}
-	if int64(le.Uint64(head[8:])) != number || t.shape.size() != size {
-		return t, false
+	sum.minExpiry, sum.recordBytes = int64(le.Uint64(header[24:])), int64(le.Uint64(header[32:]))
+	sum.layout = layout{slots: le.Uint32(header[40:]), entries: le.Uint32(header[44:]), runs: le.Uint32(header[48:]), keys: le.Uint32(header[52:]),
+		dead: le.Uint32(header[56:]), states: le.Uint32(header[60:])}
+	if int64(le.Uint64(header[8:])) != number || sum.layout.size() != size {
+		return sum, false
 	}
-	t.data = slices.Grow(buf[:0], int(t.bodyAt()))[:t.bodyAt()]
-	if _, err := f.ReadAt(t.data, 0); err != nil {
-		return t, false
+	sum.data = slices.Grow(buf[:0], int(sum.bodyAt()))[:sum.bodyAt()]
+	if _, err := f.ReadAt(sum.data, 0); err != nil {
+		return sum, false
 	}
-	end := t.statesEnd()
-	return t, le.Uint32(t.data[end:]) == crc32.ChecksumIEEE(t.data[:end])
+	end := sum.statesEnd()
+	return sum, le.Uint32(sum.data[end:]) == crc32.ChecksumIEEE(sum.data[:end])
 }
 
-func (t *brief) eachRun(f func(indexRun)) {
+func (sum *summary) eachRun(f func(indexRun)) {
 	le := binary.LittleEndian
-	for b := t.data[indexHead:t.keysAt()]; len(b) > 0; b = b[runSize:] {
+	for b := sum.data[indexHeaderSize:sum.keysAt()]; len(b) > 0; b = b[runSize:] {
 		f(indexRun{int64(le.Uint64(b)), int64(le.Uint64(b[8:])), le.Uint32(b[16:]), le.Uint32(b[20:])})
 	}
 }
 
-func (t *brief) eachKey(f func(indexKey)) {
+func (sum *summary) eachKey(f func(indexKey)) {
 	le := binary.LittleEndian
-	for b := t.data[t.keysAt():t.filterAt()]; len(b) > 0; b = b[keySize:] {
+	for b := sum.data[sum.keysAt():sum.filterAt()]; len(b) > 0; b = b[keySize:] {
 		f(indexKey{le.Uint64(b), int64(le.Uint64(b[8:])), le.Uint32(b[16:])})
 	}
 }
 
-func (t *brief) eachDead(f func(*dead)) {
-	var d dead
-	for b := t.data[t.deadAt():t.statesAt()]; len(b) > 0; b = b[deadSize:] {
-		d.get(b)
+func (sum *summary) eachDead(f func(*deadEntry)) {
+	var d deadEntry
+	for b := sum.data[sum.deadAt():sum.statesAt()]; len(b) > 0; b = b[deadEntrySize:] {
+		d.decode(b)
 		f(&d)
 	}
 }
 
-func (t *brief) words(from, to int64) []uint64 {
-	all := make([]uint64, 0, (to-from)/8)
-	for b := t.data[from:to]; len(b) > 0; b = b[8:] {
+func (sum *summary) uint64s(start, end int64) []uint64 {
+	all := make([]uint64, 0, (end-start)/8)
+	for b := sum.data[start:end]; len(b) > 0; b = b[8:] {
 		all = append(all, binary.LittleEndian.Uint64(b))
 	}
 	return all
 }
 
-func (t *brief) filter() filter { return t.words(t.filterAt(), t.bitsAt()) }
-func (t *brief) bits() bitmap   { return t.words(t.bitsAt(), t.deadAt()) }
-func (t *brief) states() []byte { return t.data[t.statesAt():t.statesEnd()] }
+func (sum *summary) filter() filter { return sum.uint64s(sum.filterAt(), sum.bitsAt()) }
+func (sum *summary) bitmap() bitmap { return sum.uint64s(sum.bitsAt(), sum.deadAt()) }
+func (sum *summary) states() []byte { return sum.data[sum.statesAt():sum.statesEnd()] }
 
-// bodyWhole tells whether the body of an index is as it was written; data ends with it.
-func bodyWhole(body []byte) bool {
-	end := len(body) - sumSize
+// bodyIntact verifies the checksum at the end of an index body.
+func bodyIntact(body []byte) bool {
+	end := len(body) - checksumSize
 	return end >= 0 && binary.LittleEndian.Uint32(body[end:]) == crc32.ChecksumIEEE(body[:end])
 }
 
-// eachEntry goes through the body of an index.
-func eachEntry(body []byte, p shape, f func(pos uint32, e *entry)) {
+// eachEntry iterates over the entries of an index body.
+func eachEntry(body []byte, p layout, f func(pos uint32, e *entry)) {
 	var e entry
 	for pos := range p.entries {
-		e.get(body[int(pos)*entrySize:])
+		e.decode(body[int(pos)*entrySize:])
 		f(pos, &e)
 	}
 }
--- a/internal/spool/kill_test.go
+++ b/internal/spool/kill_test.go
@@ -11,145 +11,146 @@
 	"github.com/stretchr/testify/require"
 )
 
-// owedIn is all that a folder owes after a kill there. It is drawn by all ways that there are, so none gives one twice.
-func owedIn(t *testing.T, dir string, room int64) map[string]Message {
+// pendingIn returns all pending messages of a folder after a kill. It uses several load methods, so that none may return a message twice.
+func pendingIn(t *testing.T, dir string, capacity int64) map[string]Message {
 	t.Helper()
-	s := openRoom(t, dir, room)
+	s := openWithBacklog(t, dir, capacity)
 	got := map[string]Message{}
 	add := func(ms []*Message, err error) {
 		require.NoError(t, err)
 		for _, m := range ms {
-			require.NotContains(t, got, m.ID, "owed once")
-			got[m.ID] = plain(m)
+			require.NotContains(t, got, m.ID, "pending once")
+			got[m.ID] = persistentFields(m)
 		}
 	}
-	add(s.Owed(), nil)
-	count := s.SpilledAll()
-	add(s.LoadDue(int64(1e15)+100, 1000))
-	for _, dst := range s.SpilledTo() {
+	add(s.Pending(), nil)
+	count := s.SpilledTotal()
+	add(s.LoadExpiring(int64(1e15)+100, 1000))
+	for _, dst := range s.SpilledDestinations() {
 		add(s.Load(dst, 1000))
 	}
-	require.Zero(t, s.SpilledAll())
+	require.Zero(t, s.SpilledTotal())
 	require.GreaterOrEqual(t, len(got), count)
-	require.Len(t, s.Owed(), len(got))
+	require.Len(t, s.Pending(), len(got))
 	require.NoError(t, s.Close())
 	return got
 }
 
-// witness copies the folder at each step at which a process may be killed.
-type witness struct {
-	t     *testing.T
-	dir   string
-	shots []string
+// crashRecorder copies the folder at each step at which a process may be killed.
+type crashRecorder struct {
+	t         *testing.T
+	dir       string
+	snapshots []string
 }
 
-func (w *witness) step() { w.shots = append(w.shots, copied(w.t, w.dir)) }
+func (c *crashRecorder) snapshot() { c.snapshots = append(c.snapshots, copyFolder(c.t, c.dir)) }
 
-// judge has each copy owe what was owed before the deed or what is owed after it, and never less once it was more.
-func (w *witness) judge(room int64, before, after map[string]Message, what string) {
-	w.t.Helper()
+// verify requires each copy to hold the messages pending before or after the operation, and never those before once a copy held others.
+func (c *crashRecorder) verify(capacity int64, before, after map[string]Message, what string) {
+	c.t.Helper()
 	past := false
-	for i, shot := range w.shots {
-		got := owedIn(w.t, shot, room)
+	for i, snapshot := range c.snapshots {
+		got := pendingIn(c.t, snapshot, capacity)
 		if !past && !reflect.DeepEqual(before, got) {
 			past = true
 		}
 		if past {
-			same(w.t, after, got, "killed at step %d of %s", i, what)
+			requireSame(c.t, after, got, "killed at step %d of %s", i, what)
 		}
-		require.NoError(w.t, os.RemoveAll(shot))
+		require.NoError(c.t, os.RemoveAll(snapshot))
 	}
-	w.shots = nil
+	c.snapshots = nil
 }
 
-// A kill at each record, rename and removal of lives of random things, restarts among them. The newest segment is cut at each byte too.
-func TestKilledAtEachStepOwesWhatWasRecorded(t *testing.T) {
+// Simulates a kill at each record, rename and removal of random operations, including restarts. The newest segment is also truncated at
+// each byte.
+func TestKillAtEachStepKeepsRecordedState(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			const room = 24 << 10
+			const capacity = 24 << 10
 			r := rand.New(rand.NewPCG(seed, 7))
-			eye := &witness{t: t, dir: t.TempDir()}
-			life, steps, moved := newModel(), 0, 0
+			recorder := &crashRecorder{t: t, dir: t.TempDir()}
+			expected, steps, moved := newModel(), 0, 0
 			b := newBacklog()
-			b.segment = 1 << 10
-			s, _, err := openBacklog(eye.dir, room, b)
+			b.maxSegment = 1 << 10
+			s, _, err := openBacklog(recorder.dir, capacity, b)
 			require.NoError(t, err)
 			for i := range 220 {
-				before := life.all()
-				b.step = eye.step
+				before := expected.all()
+				b.crashPoint = recorder.snapshot
 				if i%50 == 49 {
-					moved += b.moved
+					moved += b.copied
 					next := newBacklog()
-					next.step, next.segment = eye.step, b.segment
-					s, _, err = openBacklog(eye.dir, room, next) // nothing was closed before: a kill
+					next.crashPoint, next.maxSegment = recorder.snapshot, b.maxSegment
+					s, _, err = openBacklog(recorder.dir, capacity, next) // without a Close before: simulates a kill
 					require.NoError(t, err)
-					b.step, b = func() {}, next
-					life.restart(t, s)
+					b.crashPoint, b = func() {}, next
+					expected.restart(t, s)
 				} else {
-					oldest, at, size := s.order[0], s.now(), s.now().size
-					life.play(t, s, r, i)
-					if oldest == s.order[0] && at == s.now() && i%16 == 0 { // what is removed was copied before
-						eye.cuts(s, size)
+					oldest, at, size := s.segments[0], s.newestSegment(), s.newestSegment().size
+					expected.randomOperation(t, s, r, i)
+					if oldest == s.segments[0] && at == s.newestSegment() && i%16 == 0 { // removed files were copied before
+						recorder.snapshotTruncations(s, size)
 					}
 				}
-				b.step = func() {}
-				steps += len(eye.shots)
-				eye.judge(room, before, life.all(), fmt.Sprint("deed ", i))
+				b.crashPoint = func() {}
+				steps += len(recorder.snapshots)
+				recorder.verify(capacity, before, expected.all(), fmt.Sprint("operation ", i))
 			}
-			moved += b.moved
-			t.Logf("%d steps; %d spilled messages copied forward; oldest segment %d of %d", steps, moved, s.order[0].number, s.last)
+			moved += b.copied
+			t.Logf("%d steps; %d spilled messages copied forward; oldest segment %d of %d", steps, moved, s.segments[0].number, s.lastNumber)
 			require.Greater(t, steps, 200)
 			require.Positive(t, moved, "spilled messages are copied forward")
-			require.Greater(t, s.order[0].number, int64(1), "segments go")
+			require.Greater(t, s.segments[0].number, int64(1), "segments are removed")
 		})
 	}
 }
 
-// cuts adds copies with the newest segment cut at each byte from a size on.
-func (w *witness) cuts(s *Spool, from int64) {
-	data, err := os.ReadFile(s.path(s.now()))
-	require.NoError(w.t, err)
-	shots := w.shots
-	w.shots = nil
+// snapshotTruncations adds copies with the newest segment truncated at each byte from a size on.
+func (c *crashRecorder) snapshotTruncations(s *Spool, from int64) {
+	data, err := os.ReadFile(s.segmentPath(s.newestSegment()))
+	require.NoError(c.t, err)
+	snapshots := c.snapshots
+	c.snapshots = nil
 	for cut := from; cut < int64(len(data)); cut++ {
-		shot := copied(w.t, w.dir)
-		require.NoError(w.t, os.WriteFile(filepath.Join(shot, filepath.Base(s.path(s.now()))), data[:cut], 0o600))
-		w.shots = append(w.shots, shot)
+		snapshot := copyFolder(c.t, c.dir)
+		require.NoError(c.t, os.WriteFile(filepath.Join(snapshot, filepath.Base(s.segmentPath(s.newestSegment()))), data[:cut], 0o600))
+		c.snapshots = append(c.snapshots, snapshot)
 	}
-	w.shots = append(w.shots, shots...)
+	c.snapshots = append(c.snapshots, snapshots...)
 }
 
-// Each step of a start that makes all indexes again is a kill too, and of the start after that.
-func TestSecondRestartWhileTheFirstMakesIndexesAgain(t *testing.T) {
-	const room = 64 << 10
+// Simulates a kill at each step of a start that rebuilds all indexes, and a start after it.
+func TestKillWhileRebuildingIndexes(t *testing.T) {
+	const capacity = 64 << 10
 	dir := t.TempDir()
-	w := lived(t, dir, room, 3)
+	w := populateRandom(t, dir, capacity, 3)
 	indexes, err := filepath.Glob(filepath.Join(dir, "*"+indexExtension))
 	require.NoError(t, err)
 	require.Greater(t, len(indexes), 3)
 	for _, name := range indexes {
 		require.NoError(t, os.Remove(name))
 	}
-	eye := &witness{t: t, dir: dir}
+	recorder := &crashRecorder{t: t, dir: dir}
 	b := newBacklog()
-	b.step = eye.step
-	s, notes, err := openBacklog(dir, room, b)
+	b.crashPoint = recorder.snapshot
+	s, notes, err := openBacklog(dir, capacity, b)
 	require.NoError(t, err)
 	require.Empty(t, notes)
 	require.NoError(t, s.Close())
-	require.GreaterOrEqual(t, len(eye.shots), 3*len(indexes), "three steps an index")
-	eye.judge(room, w.all(), w.all(), "a start")
-	same(t, w.all(), owedIn(t, dir, room), "at last")
+	require.GreaterOrEqual(t, len(recorder.snapshots), 3*len(indexes), "three steps per index")
+	recorder.verify(capacity, w.all(), w.all(), "a start")
+	requireSame(t, w.all(), pendingIn(t, dir, capacity), "finally")
 }
 
-// lived is a folder after some hundred random things, not closed.
-func lived(t *testing.T, dir string, room int64, seed uint64) *model {
+// populateRandom fills a folder by 300 random operations, without closing it.
+func populateRandom(t *testing.T, dir string, capacity int64, seed uint64) *model {
 	t.Helper()
 	r, w := rand.New(rand.NewPCG(seed, 11)), newModel()
-	s := small(t, dir, room, 2<<10)
+	s := openSmallSegments(t, dir, capacity, 2<<10)
 	for i := range 300 {
-		w.play(t, s, r, i)
+		w.randomOperation(t, s, r, i)
 	}
 	return w
 }
--- a/internal/spool/load.go
+++ b/internal/spool/load.go
@@ -13,193 +13,195 @@
 )
 
 const (
-	mostLoad  = 1024 // messages drawn by one record write
-	noteSize  = 64   // bytes, about, of the note that one is drawn
-	drawTries = 4    // as copying forward moves what was chosen
+	maxLoadBatch       = 1024 // messages loaded per record write
+	loadRecordEstimate = 64   // bytes, approximate size of a recLoaded record
+	maxLoadAttempts    = 4    // copying forward may move the selected entries
 )
 
 var (
-	errRecord = errors.New("not a whole record of this message")
-	errMoved  = errors.New("spool: what was to be loaded is being copied forward")
+	errBadRecord = errors.New("record is incomplete or corrupt")
+	errMoved     = errors.New("spool: messages to be loaded are being copied forward")
 )
 
-// pick is a spilled message chosen to be drawn.
-type pick struct {
+// candidate is a spilled message selected for loading.
+type candidate struct {
 	seg *segment
 	entry
 }
 
-// Load takes up to n spilled messages of a destination back as working, in the order in which they were taken on. Beside an error it may
-// give messages: a damaged record keeps none of the others back, and is told once (DamagedError). Fences hold none of them back, as they
-// could not end then: who loads looks at what is older than a purge, as at a start. ErrFull: the room has none left for a note of it.
+// Load makes up to n spilled messages of a destination active again, in order of acceptance. It may return messages together with an
+// error: a damaged record does not hold back the others, and is reported once (DamagedError). Fences are ignored, since fenced messages
+// could not end otherwise: the caller handles messages older than a purge, as at a start. ErrFull: there is no space left to record the
+// load.
 func (s *Spool) Load(dst int64, n int) ([]*Message, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tell(s.draw(n, func(n int) ([]pick, error) { return s.oldest(dst, n) }))
+	return s.joinDamage(s.load(n, func(n int) ([]candidate, error) { return s.selectOldest(dst, n) }))
 }
 
-// LoadDue is Load for up to n messages of any destination whose Expires is before a time (µs since 1970). The order is by Expires within a
-// segment alone, and none is missed: fewer than n without an error are all.
-func (s *Spool) LoadDue(before int64, n int) ([]*Message, error) {
+// LoadExpiring is Load for up to n messages of any destination whose Expires is before a time (µs since 1970). They are ordered by
+// Expires only within a segment. None is missed: fewer than n without an error are all of them.
+func (s *Spool) LoadExpiring(before int64, n int) ([]*Message, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tell(s.draw(n, func(n int) ([]pick, error) { return s.due(before, n) }))
+	return s.joinDamage(s.load(n, func(n int) ([]candidate, error) { return s.selectExpiring(before, n) }))
 }
 
-// tell adds the damage that was not told yet.
-func (s *Spool) tell(ms []*Message, err error) ([]*Message, error) {
+// joinDamage adds the damage that was not reported yet.
+func (s *Spool) joinDamage(ms []*Message, err error) ([]*Message, error) {
 	if s.backlog == nil {
 		return ms, err
 	}
-	return ms, errors.Join(err, s.backlog.told())
+	return ms, errors.Join(err, s.backlog.takeDamage())
 }
 
-// draw takes what is chosen back as working, some at a time.
-func (s *Spool) draw(n int, choose func(n int) ([]pick, error)) (all []*Message, err error) {
+// load makes the selected messages active again, in batches.
+func (s *Spool) load(n int, selectBatch func(n int) ([]candidate, error)) (all []*Message, err error) {
 	b := s.backlog
 	if b == nil {
-		return nil, ErrOff
-	}
-	for tries := 0; len(all) < n; {
-		some := min(n-len(all), mostLoad)
-		_ = s.noteRoom(int64(some) * noteSize) // an estimate: take makes sure
-		moved := b.moved
-		picks, failed := choose(some)
-		if len(picks) == 0 {
-			return all, failed
+		return nil, ErrBacklogDisabled
+	}
+	for attempts := 0; len(all) < n; {
+		batch := min(n-len(all), maxLoadBatch)
+		_ = s.ensureSpaceForUpdate(int64(batch) * loadRecordEstimate) // best effort: loadCandidates checks the exact size
+		copiedBefore := b.copied
+		candidates, selectErr := selectBatch(batch)
+		if len(candidates) == 0 {
+			return all, selectErr
 		}
-		ms, again, err := s.take(picks, moved)
+		ms, retry, err := s.loadCandidates(candidates, copiedBefore)
 		all = append(all, ms...)
-		if err = errors.Join(err, failed); err != nil {
+		if err = errors.Join(err, selectErr); err != nil {
 			return all, err
 		}
-		if !again {
+		if !retry {
 			continue
 		}
-		if tries++; tries == drawTries {
+		if attempts++; attempts == maxLoadAttempts {
 			return all, errMoved
 		}
 	}
 	return all, nil
 }
 
-// take reads what was picked, notes on disk that it is drawn, and has it work. It is to be done again when copying forward moved some.
-func (s *Spool) take(picks []pick, moved int) (ms []*Message, again bool, err error) {
+// loadCandidates reads the candidates, records that they are loaded, and makes them active. It asks for a retry if copying forward moved
+// some.
+func (s *Spool) loadCandidates(candidates []candidate, copiedBefore int) (ms []*Message, retry bool, err error) {
 	b := s.backlog
-	ms, picks, err = s.read(picks)
-	if err != nil || len(picks) == 0 {
+	ms, candidates, err = s.readCandidates(candidates)
+	if err != nil || len(candidates) == 0 {
 		return nil, false, err
 	}
-	var note []byte
-	for i, p := range picks {
-		note = append(note, drawn(ms[i].ID, p.seg, &picks[i].entry)...)
+	var records []byte
+	for i, c := range candidates {
+		records = append(records, loadedRecord(ms[i].ID, c.seg, &candidates[i].entry)...)
 	}
-	if n := int64(len(note)); !s.fitsBare(n) && s.noteRoom(n) != nil {
+	if n := int64(len(records)); !s.fitsWithoutIndexes(n) && s.ensureSpaceForUpdate(n) != nil {
 		return nil, false, ErrFull
 	}
-	if b.moved != moved {
+	if b.copied != copiedBefore {
 		return nil, true, nil
 	}
-	if err := s.append(note); err != nil {
+	if err := s.appendRecord(records); err != nil {
 		return nil, false, err
 	}
-	for i, p := range picks {
-		b.unspill(p.seg, &picks[i].entry)
-		s.work(ms[i], p.seg, &picks[i].entry)
-		ms[i].drawn = true
+	for i, c := range candidates {
+		b.unspill(c.seg, &candidates[i].entry)
+		s.activate(ms[i], c.seg, &candidates[i].entry)
+		ms[i].loaded = true
 	}
 	return ms, false, nil
 }
 
-func drawn(id string, seg *segment, e *entry) []byte {
-	return begin(recDrawn, id).number(seg.number).number(int64(e.slot)).number(e.offset).number(int64(e.length)).seal()
+func loadedRecord(id string, seg *segment, e *entry) []byte {
+	return newRecord(recLoaded, id).varint(seg.number).varint(int64(e.slot)).varint(e.offset).varint(int64(e.length)).finish()
 }
 
-// work has a message that was spilled be a working one.
-func (s *Spool) work(m *Message, seg *segment, e *entry) {
+// activate makes a spilled message active.
+func (s *Spool) activate(m *Message, seg *segment, e *entry) {
 	m.segment, m.slot, m.offset, m.length = seg, e.slot, e.offset, int64(e.length)
-	s.owed[m.ID] = m
+	s.pending[m.ID] = m
 }
 
-// read reads the records of what was picked, and gives up those that are damaged. Those left of picks go with the messages. An error says
-// that a segment cannot be opened for the moment.
-func (s *Spool) read(picks []pick) (ms []*Message, left []pick, err error) {
+// readCandidates reads the records of the candidates and drops damaged ones. It returns the messages with their candidates. An error
+// means that a segment cannot be opened at the moment.
+func (s *Spool) readCandidates(candidates []candidate) (ms []*Message, valid []candidate, err error) {
 	files := map[*segment]*os.File{}
 	defer func() {
 		for _, f := range files {
 			_ = f.Close()
 		}
 	}()
-	for _, p := range picks {
-		f, opened := files[p.seg]
+	for _, c := range candidates {
+		f, opened := files[c.seg]
 		var err error
 		if !opened {
-			if f, err = os.Open(s.path(p.seg)); short(err) {
+			if f, err = os.Open(s.segmentPath(c.seg)); isResourceShortage(err) {
 				return nil, nil, fmt.Errorf("spool: %w", err)
 			}
-			if files[p.seg] = f; errors.Is(err, os.ErrNotExist) {
-				err = fmt.Errorf("%w: %w", errRecord, err)
+			if files[c.seg] = f; errors.Is(err, os.ErrNotExist) {
+				err = fmt.Errorf("%w: %w", errBadRecord, err)
 			}
 		}
 		var m *Message
 		if err == nil {
-			m, err = readMessageAt(f, &p.entry)
+			m, err = readMessageAt(f, &c.entry)
 		}
 		if err != nil {
-			s.lose(p.seg, &p.entry, err)
+			s.dropDamaged(c.seg, &c.entry, err)
 			continue
 		}
-		ms, left = append(ms, m), append(left, p)
+		ms, valid = append(ms, m), append(valid, c)
 	}
-	return ms, left, nil
+	return ms, valid, nil
 }
 
-// readRecord reads one record with its head. An error that is not errRecord is of the read itself.
+// readRecord reads one record including its header. An error other than errBadRecord comes from the read itself.
 func readRecord(f io.ReaderAt, offset, length int64) ([]byte, error) {
-	if length <= headSize || length > headSize+mostRecord {
-		return nil, errRecord
+	if length <= headerSize || length > headerSize+maxRecordSize {
+		return nil, errBadRecord
 	}
 	data := make([]byte, length)
 	if n, err := f.ReadAt(data, offset); n < len(data) {
 		if errors.Is(err, io.EOF) {
-			err = errRecord
+			err = errBadRecord
 		}
 		return nil, err
 	}
 	return data, nil
 }
 
-// decode takes a taken record with its head apart.
-func decode(data []byte) (*Message, error) {
-	body := data[headSize:]
+// decodeAccepted decodes an accepted record including its header.
+func decodeAccepted(data []byte) (*Message, error) {
+	body := data[headerSize:]
 	le := binary.LittleEndian
-	if int(le.Uint32(data)) != len(body) || crc32.ChecksumIEEE(body) != le.Uint32(data[4:]) || body[0] != recTaken {
-		return nil, errRecord
+	if int(le.Uint32(data)) != len(body) || crc32.ChecksumIEEE(body) != le.Uint32(data[4:]) || body[0] != recAccepted {
+		return nil, errBadRecord
 	}
-	d := &decoder{left: body[1:]}
-	m := readMessage(string(d.text()), d)
-	if d.bad {
-		return nil, errRecord
+	d := &decoder{rest: body[1:]}
+	m := decodeMessage(string(d.bytes()), d)
+	if d.failed {
+		return nil, errBadRecord
 	}
 	return m, nil
 }
 
-// cursor goes through what is spilled for a destination in one segment.
+// cursor iterates over the spilled messages of a destination in one segment.
 type cursor struct {
-	seg  *segment
-	f    file // of a sealed one's index
-	dst  int64
-	pos  uint32 // of the page's first entry
-	page []entry
-	i    int
-	list *list // of the newest one
-	n    *newest
+	seg    *segment
+	index  randomReader // index of a sealed segment
+	dst    int64
+	pos    uint32 // of the page's first entry
+	page   []entry
+	i      int
+	slots  *slotList // of the newest segment
+	newest *newestState
 }
 
-// oldest picks what of a destination was taken on first, over all segments. A segment is looked into only once its run may hold the next;
-// one whose index cannot be read keeps the others' messages not back.
-func (s *Spool) oldest(dst int64, most int) (picks []pick, err error) {
-	l := s.backlog.lines[dst]
+// selectOldest selects the messages of a destination accepted first, over all segments. A segment is opened only once its run may hold
+// the next one. A segment whose index cannot be read does not hold back the others.
+func (s *Spool) selectOldest(dst int64, limit int) (candidates []candidate, err error) {
+	l := s.backlog.dests[dst]
 	if l == nil {
 		return nil, nil
 	}
@@ -212,56 +214,56 @@
 	if c := s.backlog.newest.cursor(dst); c != nil {
 		open = append(open, c)
 	}
-	closed := byTaken(l.runs)
-	for len(picks) < most {
-		best := first(open)
-		if len(closed) > 0 && (best == nil || l.runs[closed[0]].taken <= best.head().taken) {
-			remade, failed := s.check(l.runs[closed[0]].seg)
-			if remade { // its runs are others now
-				return s.oldest(dst, most)
+	unopened := runsBySeq(l.runs)
+	for len(candidates) < limit {
+		best := earliest(open)
+		if len(unopened) > 0 && (best == nil || l.runs[unopened[0]].nextSeq <= best.head().seq) {
+			rebuilt, runErr := s.verifyIndex(l.runs[unopened[0]].seg)
+			if rebuilt { // its runs have changed
+				return s.selectOldest(dst, limit)
 			}
 			var c *cursor
-			if failed == nil {
-				c, failed = s.openRun(&l.runs[closed[0]], dst)
+			if runErr == nil {
+				c, runErr = s.openRun(&l.runs[unopened[0]], dst)
 			}
-			if short(failed) {
-				return picks, failed
+			if isResourceShortage(runErr) {
+				return candidates, runErr
 			}
-			if closed = closed[1:]; failed == nil {
+			if unopened = unopened[1:]; runErr == nil {
 				open = append(open, c)
 			}
-			err = errors.Join(err, failed)
+			err = errors.Join(err, runErr)
 			continue
 		}
 		if best == nil {
 			break
 		}
-		picks = append(picks, pick{best.seg, *best.head()})
+		candidates = append(candidates, candidate{best.seg, *best.head()})
 		best.i++
-		if failed := best.seek(); failed != nil { // that run is at its end then
-			best.page, best.i, err = nil, 0, errors.Join(err, failed)
+		if runErr := best.seek(); runErr != nil { // treat the run as finished
+			best.page, best.i, err = nil, 0, errors.Join(err, runErr)
 		}
 	}
-	return picks, err
+	return candidates, err
 }
 
-// short tells whether a fault is of the moment: there are no descriptors, or no memory.
-func short(err error) bool {
+// isResourceShortage reports whether an error is transient: file descriptors or memory are exhausted.
+func isResourceShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOMEM)
 }
 
-// byTaken lists runs by when the first of each was taken on.
-func byTaken(runs []run) []int {
+// runsBySeq orders runs by the acceptance number of their first message.
+func runsBySeq(runs []run) []int {
 	all := make([]int, len(runs))
 	for i := range all {
 		all[i] = i
 	}
-	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(runs[a].taken, runs[b].taken) })
+	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(runs[a].nextSeq, runs[b].nextSeq) })
 	return all
 }
 
-// first is the cursor at the message taken on first; nil when all are at their end.
-func first(open []*cursor) (best *cursor) {
+// earliest returns the cursor at the message accepted first, or nil if all are at their end.
+func earliest(open []*cursor) (best *cursor) {
 	for _, c := range open {
 		if h := c.head(); h != nil && (best == nil || h.compare(best.head()) < 0) {
 			best = c
@@ -270,42 +272,42 @@
 	return best
 }
 
-// openRun opens a run at its first spilled entry, which the run remembers.
+// openRun opens a run at its first spilled entry, and stores that position in the run.
 func (s *Spool) openRun(r *run, dst int64) (*cursor, error) {
-	f, err := s.index(r.seg)
+	f, err := s.openIndex(r.seg)
 	if err != nil {
 		return nil, err
 	}
-	c := &cursor{seg: r.seg, f: f, dst: dst, pos: r.next}
+	c := &cursor{seg: r.seg, index: f, dst: dst, pos: r.next}
 	if err := c.seek(); err != nil {
 		c.close()
 		return nil, err
 	}
 	if h := c.head(); h != nil {
-		r.next, r.taken = c.pos+uint32(c.i), h.taken
+		r.next, r.nextSeq = c.pos+uint32(c.i), h.seq
 	}
 	return c, nil
 }
 
-func (n *newest) cursor(dst int64) *cursor {
+func (n *newestState) cursor(dst int64) *cursor {
 	l := n.byDst[dst]
 	if l == nil {
 		return nil
 	}
-	n.sort(l)
-	c := &cursor{seg: n.seg, dst: dst, list: l, n: n, i: l.next}
-	_ = c.seek() // reads memory alone
+	n.sortSlots(l)
+	c := &cursor{seg: n.seg, dst: dst, slots: l, newest: n, i: l.next}
+	_ = c.seek() // accesses memory only
 	l.next = c.i
 	return c
 }
 
-// head is the entry that a cursor is at; nil at the end.
+// head returns the current entry of a cursor, or nil at the end.
 func (c *cursor) head() *entry {
-	if c.list != nil {
-		if c.i == len(c.list.slots) {
+	if c.slots != nil {
+		if c.i == len(c.slots.slots) {
 			return nil
 		}
-		return &c.n.entries[c.list.slots[c.i]].entry
+		return &c.newest.entries[c.slots.slots[c.i]].entry
 	}
 	if c.i == len(c.page) || c.page[c.i].dst != c.dst {
 		return nil
@@ -313,10 +315,10 @@
 	return &c.page[c.i]
 }
 
-// seek goes on to the first entry that is spilled, from the one it is at on.
+// seek advances to the first spilled entry, starting at the current one.
 func (c *cursor) seek() error {
-	if c.list != nil {
-		for c.i < len(c.list.slots) && !c.n.entries[c.list.slots[c.i]].spilled {
+	if c.slots != nil {
+		for c.i < len(c.slots.slots) && !c.newest.entries[c.slots.slots[c.i]].spilled {
 			c.i++
 		}
 		return nil
@@ -329,81 +331,81 @@
 		}
 		c.pos, c.i = c.pos+uint32(len(c.page)), 0
 		var err error
-		if c.page, err = readEntries(c.f, c.seg.sealed.shape, c.pos, make([]entry, pageEntries)); err != nil || len(c.page) == 0 {
+		if c.page, err = readEntries(c.index, c.seg.sealed.layout, c.pos, make([]entry, pageEntries)); err != nil || len(c.page) == 0 {
 			return err
 		}
 	}
 }
 
 func (c *cursor) close() {
-	if c.f != nil {
-		_ = c.f.Close()
+	if c.index != nil {
+		_ = c.index.Close()
 	}
 }
 
-// due picks what expires before a time, segment by segment.
-func (s *Spool) due(before int64, most int) (picks []pick, err error) {
-	for _, seg := range s.order {
-		if seg.sealed == nil || seg.sealed.due >= before {
+// selectExpiring selects messages that expire before a time, segment by segment.
+func (s *Spool) selectExpiring(before int64, limit int) (candidates []candidate, err error) {
+	for _, seg := range s.segments {
+		if seg.sealed == nil || seg.sealed.minExpiry >= before {
 			continue
 		}
-		some, failed := s.dueOf(seg, before, most-len(picks))
-		picks, err = append(picks, some...), errors.Join(err, failed)
-		if len(picks) == most {
-			return picks, err
+		found, segErr := s.selectExpiringIn(seg, before, limit-len(candidates))
+		candidates, err = append(candidates, found...), errors.Join(err, segErr)
+		if len(candidates) == limit {
+			return candidates, err
 		}
 	}
-	if n := s.backlog.newest; n.due < before {
-		picks = append(picks, n.dueBefore(before, most-len(picks))...)
+	if n := s.backlog.newest; n.minExpiry < before {
+		candidates = append(candidates, n.selectExpiring(before, limit-len(candidates))...)
 	}
-	return picks, err
+	return candidates, err
 }
 
-// dueBefore goes through all of the newest segment, and has the bound be exact again.
-func (n *newest) dueBefore(before int64, most int) (picks []pick) {
-	n.due = never
+// selectExpiring scans the whole newest segment, and makes its lower bound exact again.
+func (n *newestState) selectExpiring(before int64, limit int) (candidates []candidate) {
+	n.minExpiry = noExpiry
 	for i := range n.entries {
 		if e := &n.entries[i]; e.spilled {
-			n.due = min(n.due, e.expires)
+			n.minExpiry = min(n.minExpiry, e.expires)
 			if e.expires < before {
-				picks = append(picks, pick{n.seg, e.entry})
+				candidates = append(candidates, candidate{n.seg, e.entry})
 			}
 		}
 	}
-	slices.SortFunc(picks, func(a, b pick) int { return cmp.Compare(a.expires, b.expires) })
-	return picks[:min(most, len(picks))]
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.expires, b.expires) })
+	return candidates[:min(limit, len(candidates))]
 }
 
-// dueOf goes on in a sealed segment's order by Expires.
-func (s *Spool) dueOf(seg *segment, before int64, most int) (picks []pick, err error) {
-	if _, err := s.check(seg); err != nil {
+// selectExpiringIn continues in the expiry order of a sealed segment.
+func (s *Spool) selectExpiringIn(seg *segment, before int64, limit int) (candidates []candidate, err error) {
+	if _, err := s.verifyIndex(seg); err != nil {
 		return nil, err
 	}
-	f, err := s.index(seg)
+	f, err := s.openIndex(seg)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
 	r := seg.sealed
 	var at [4]byte
-	page, met := make([]entry, 1), false
-	for i := r.cursor; i < r.shape.entries && len(picks) < most; i++ {
-		if _, err := f.ReadAt(at[:], r.shape.byExpiresAt()+int64(i)*4); err != nil {
-			return picks, fmt.Errorf("spool: %w", err)
+	page, foundFirst := make([]entry, 1), false
+	for i := r.expiryCursor; i < r.layout.entries && len(candidates) < limit; i++ {
+		if _, err := f.ReadAt(at[:], r.layout.byExpiresAt()+int64(i)*4); err != nil {
+			return candidates, fmt.Errorf("spool: %w", err)
 		}
-		if page, err = readEntries(f, r.shape, binary.LittleEndian.Uint32(at[:]), page[:1]); err != nil || len(page) == 0 {
-			return picks, err
+		if page, err = readEntries(f, r.layout, binary.LittleEndian.Uint32(at[:]), page[:1]); err != nil || len(page) == 0 {
+			return candidates, err
 		}
 		if !r.spilled.has(page[0].slot) {
 			continue
 		}
-		if !met { // all in front of it are over, or drawn
-			r.cursor, r.due, met = i, page[0].expires, true
+		if !foundFirst { // all earlier entries are completed or loaded
+			r.expiryCursor, r.minExpiry, foundFirst = i, page[0].expires, true
 		}
 		if page[0].expires >= before {
 			break
 		}
-		picks = append(picks, pick{seg, page[0]})
+		candidates = append(candidates, candidate{seg, page[0]})
 	}
-	return picks, nil
+	return candidates, nil
 }
--- a/internal/spool/lookup.go
+++ b/internal/spool/lookup.go
@@ -10,23 +10,23 @@
 	"sort"
 )
 
-const pageEntries = 64 // read at once
+const pageEntries = 64 // entries read at once
 
-// file is what is read at offsets.
-type file interface {
+// randomReader is a file or buffer that is read at offsets.
+type randomReader interface {
 	io.ReaderAt
 	io.Closer
 }
 
-// held are bytes in memory, read like a file.
-type held struct{ *bytes.Reader }
+// memoryFile is a buffer in memory that is read like a file.
+type memoryFile struct{ *bytes.Reader }
 
-func (held) Close() error { return nil }
+func (memoryFile) Close() error { return nil }
 
-// index opens the index of a sealed segment; one that could not be written yet is read in memory.
-func (s *Spool) index(seg *segment) (file, error) {
+// openIndex opens the index of a sealed segment; one that was not written yet is read from memory.
+func (s *Spool) openIndex(seg *segment) (randomReader, error) {
 	if seg.sealed.image != nil {
-		return held{bytes.NewReader(seg.sealed.image)}, nil
+		return memoryFile{bytes.NewReader(seg.sealed.image)}, nil
 	}
 	f, err := os.Open(s.indexPath(seg))
 	if err != nil {
@@ -35,34 +35,34 @@
 	return f, nil
 }
 
-// check makes sure, once a process, that the body of an index is whole, and makes the index again if it is not. Danger: positions in it do
-// not hold then.
-func (s *Spool) check(seg *segment) (remade bool, err error) {
+// verifyIndex verifies the body of an index once per process, and rebuilds the index if it is damaged. Positions in the old index
+// are invalid after that.
+func (s *Spool) verifyIndex(seg *segment) (rebuilt bool, err error) {
 	r := seg.sealed
-	if r.checked || r.image != nil {
+	if r.bodyVerified || r.image != nil {
 		return false, nil
 	}
-	body, err := s.body(seg)
-	if short(err) {
+	body, err := s.readIndexBody(seg)
+	if isResourceShortage(err) {
 		return false, err
 	}
-	if r.checked = err == nil && bodyWhole(body); r.checked {
+	if r.bodyVerified = err == nil && bodyIntact(body); r.bodyVerified {
 		return false, nil
 	}
-	if err := s.remake(seg); err != nil {
+	if err := s.rebuildIndex(seg); err != nil {
 		return false, err
 	}
 	return true, nil
 }
 
-// body reads the body of an index.
-func (s *Spool) body(seg *segment) ([]byte, error) {
-	f, err := s.index(seg)
+// readIndexBody reads the body of an index.
+func (s *Spool) readIndexBody(seg *segment) ([]byte, error) {
+	f, err := s.openIndex(seg)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	p := seg.sealed.shape
+	p := seg.sealed.layout
 	body := make([]byte, p.size()-p.bodyAt())
 	if _, err := f.ReadAt(body, p.bodyAt()); err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
@@ -70,19 +70,20 @@
 	return body, nil
 }
 
-// trusted tells whether the index that named a damaged record is still whole. Danger: by a broken one whole records would be given up.
-func (s *Spool) trusted(seg *segment) bool {
+// recheckIndex reports whether the index that located a damaged record is still intact. A damaged index would lead to intact
+// records being dropped.
+func (s *Spool) recheckIndex(seg *segment) bool {
 	r := seg.sealed
-	if r == nil || r.image != nil || r.trusted {
+	if r == nil || r.image != nil || r.bodyReverified {
 		return true
 	}
-	body, err := s.body(seg)
-	r.trusted = err == nil && bodyWhole(body)
-	return r.trusted
+	body, err := s.readIndexBody(seg)
+	r.bodyReverified = err == nil && bodyIntact(body)
+	return r.bodyReverified
 }
 
-// readEntries reads entries from a position on, as many as fit the page, and gives those read.
-func readEntries(f io.ReaderAt, p shape, pos uint32, page []entry) ([]entry, error) {
+// readEntries reads entries from a position on, up to the length of page, and returns those read.
+func readEntries(f io.ReaderAt, p layout, pos uint32, page []entry) ([]entry, error) {
 	if pos >= p.entries {
 		return nil, nil
 	}
@@ -92,81 +93,81 @@
 		return nil, fmt.Errorf("spool: %w", err)
 	}
 	for i := range page {
-		page[i].get(data[i*entrySize:])
+		page[i].decode(data[i*entrySize:])
 	}
 	return page, nil
 }
 
-// find looks for the spilled message of an id, by its hash of 64 bits.
-func (s *Spool) find(id string) (seg *segment, e entry, found bool, err error) {
+// findSpilled looks up a spilled message by the 64-bit hash of its ID.
+func (s *Spool) findSpilled(id string) (seg *segment, e entry, found bool, err error) {
 	b := s.backlog
 	if b == nil {
 		return nil, e, false, nil
 	}
-	h := hashOf(id)
+	h := hashID(id)
 	if b.newest != nil {
 		if slot, in := b.newest.byID[h]; in && b.newest.entries[slot].spilled {
 			return b.newest.seg, b.newest.entries[slot].entry, true, nil
 		}
 	}
-	for _, p := range s.probes() {
-		if !p.filter.may(h) || p.seg.sealed.left == 0 {
+	for _, f := range s.segmentFilters() {
+		if !f.filter.mayContain(h) || f.seg.sealed.spilledCount == 0 {
 			continue
 		}
-		e, found, failed := s.lookup(p.seg, h)
+		e, found, lookupErr := s.lookupInIndex(f.seg, h)
 		if found {
-			return p.seg, e, true, nil
+			return f.seg, e, true, nil
 		}
-		err = errors.Join(err, failed)
+		err = errors.Join(err, lookupErr)
 	}
 	return nil, e, false, err
 }
 
-// probe is the filter of a segment, beside those of the others: each costs a hand-in one line of memory, not three.
-type probe struct {
+// segmentFilter is the filter of a segment. Filters are stored side by side: each costs a hand-in one cache line, not three.
+type segmentFilter struct {
 	filter filter
 	seg    *segment
 }
 
-// probes lists the filters of segments in which something is spilled, or was when they were listed.
-func (s *Spool) probes() []probe {
+// segmentFilters lists the filters of segments that have spilled messages, or had some when the list was built.
+func (s *Spool) segmentFilters() []segmentFilter {
 	b := s.backlog
-	if len(b.probes) == 0 || b.probed != s.order[len(s.order)-1] {
-		b.probes, b.probed = b.probes[:0], s.order[len(s.order)-1]
-		for _, seg := range s.order {
-			if seg.sealed != nil && (seg.sealed.left > 0 || b.opening) {
-				b.probes = append(b.probes, probe{seg.sealed.filter, seg})
+	if len(b.filters) == 0 || b.filtersFor != s.segments[len(s.segments)-1] {
+		b.filters, b.filtersFor = b.filters[:0], s.segments[len(s.segments)-1]
+		for _, seg := range s.segments {
+			if seg.sealed != nil && (seg.sealed.spilledCount > 0 || b.recovering) {
+				b.filters = append(b.filters, segmentFilter{seg.sealed.filter, seg})
 			}
 		}
 	}
-	return b.probes
+	return b.filters
 }
 
-// lookup finds the spilled entry of a sealed segment with this hash of an id.
-func (s *Spool) lookup(seg *segment, id uint64) (e entry, ok bool, err error) {
-	if _, err := s.check(seg); err != nil {
+// lookupInIndex finds the spilled entry with this ID hash in a sealed segment.
+func (s *Spool) lookupInIndex(seg *segment, id uint64) (e entry, ok bool, err error) {
+	if _, err := s.verifyIndex(seg); err != nil {
 		return e, false, err
 	}
-	f, err := s.index(seg)
+	f, err := s.openIndex(seg)
 	if err != nil {
 		return e, false, err
 	}
 	defer func() { _ = f.Close() }()
-	p := seg.sealed.shape
-	at, err := lowerBound(f, p, uint32(id>>32))
+	p := seg.sealed.layout
+	pos, err := lowerBound(f, p, uint32(id>>32))
 	if err != nil {
 		return e, false, err
 	}
-	var item [8]byte
+	var pair [8]byte
 	page := make([]entry, 1)
-	for ; at < p.entries; at++ {
-		if _, err := f.ReadAt(item[:], p.byIDAt()+int64(at)*8); err != nil {
+	for ; pos < p.entries; pos++ {
+		if _, err := f.ReadAt(pair[:], p.byIDAt()+int64(pos)*8); err != nil {
 			return e, false, fmt.Errorf("spool: %w", err)
 		}
-		if binary.LittleEndian.Uint32(item[:]) != uint32(id>>32) {
+		if binary.LittleEndian.Uint32(pair[:]) != uint32(id>>32) {
 			break
 		}
-		if page, err = readEntries(f, p, binary.LittleEndian.Uint32(item[4:]), page[:1]); err != nil {
+		if page, err = readEntries(f, p, binary.LittleEndian.Uint32(pair[4:]), page[:1]); err != nil {
 			return e, false, err
 		}
 		if len(page) == 1 && page[0].id == id && seg.sealed.spilled.has(page[0].slot) {
@@ -176,9 +177,9 @@
 	return e, false, nil
 }
 
-// lowerBound finds the first place in the order by id that is not below the upper half of a hash. Hashes are spread evenly, so it is looked
-// for where it should be, and from there on by halves.
-func lowerBound(f io.ReaderAt, p shape, top uint32) (uint32, error) {
+// lowerBound finds the first position in the ID order whose item is not below the upper half of a hash. Hashes are evenly distributed, so
+// it starts at the expected position, and continues by binary search.
+func lowerBound(f io.ReaderAt, p layout, top uint32) (uint32, error) {
 	const window = 512
 	lo, hi := 0, int(p.entries)
 	buf := make([]byte, 8*window)
--- a/internal/spool/measure_test.go
+++ b/internal/spool/measure_test.go
@@ -13,13 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-const lots = 4 << 30 // bytes of room
+const largeCapacity = 4 << 30 // bytes of capacity
 
-// stock spills so many messages of 20 bytes to 1,000 destinations, as a client's crowd would: by turns. It gives the longest spill.
-func stock(tb testing.TB, s *Spool, from, to int) (worst time.Duration) {
+// spillMany spills messages of 20 bytes to 1,000 destinations by turns, as many clients would. It returns the longest duration of a
+// spill.
+func spillMany(tb testing.TB, s *Spool, from, to int) (worst time.Duration) {
 	tb.Helper()
 	for i := from; i < to; i++ {
-		m := &Message{ID: fmt.Sprintf("%016x", i), Lane: "notice", Dst: int64(i % 1000), Expires: 1e15 + int64(i), Body: make([]byte, 20)}
+		m := &Message{ID: fmt.Sprintf("%016x", i), Class: "notice", Dst: int64(i % 1000), Expires: 1e15 + int64(i), Body: make([]byte, 20)}
 		began := time.Now()
 		if err := s.Spill(m); err != nil {
 			tb.Fatal(err)
@@ -29,14 +30,14 @@
 	return worst
 }
 
-func heap() int64 {
+func heapSize() int64 {
 	debug.FreeOSMemory()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// rssAnon is the process's own memory in bytes, as the kernel counts it.
+// rssAnon returns the anonymous resident memory of the process in bytes.
 func rssAnon(tb testing.TB) int64 {
 	tb.Helper()
 	data, err := os.ReadFile("/proc/self/status")
@@ -50,23 +51,23 @@
 
 // Ten times as many spilled messages cost few bytes more each. The newest segment's entries are bounded by its size, and sealed segments
 // cost a bit for the slot, 20 for the filter, and 24 bytes for each destination in each.
-func TestMemoryHardlyGrowsWithWhatIsSpilled(t *testing.T) {
+func TestMemoryPerSpilledMessageIsBounded(t *testing.T) {
 	const few, many, bound, aim = 20_000, 200_000, 16, 6
-	s := small(t, t.TempDir(), lots, 2<<20)
-	stock(t, s, 0, few)
-	require.NoError(t, s.startSegment()) // what the newest one holds is no growth
-	before := heap()
-	stock(t, s, few, many)
+	s := openSmallSegments(t, t.TempDir(), largeCapacity, 2<<20)
+	spillMany(t, s, 0, few)
+	require.NoError(t, s.startSegment()) // excludes the entries of the newest segment
+	before := heapSize()
+	spillMany(t, s, few, many)
 	require.NoError(t, s.startSegment())
-	each := float64(heap()-before) / (many - few)
+	each := float64(heapSize()-before) / (many - few)
 	t.Logf("%.2f bytes of heap a spilled message, in segments of 2 MiB with 1,000 destinations", each)
 	require.Less(t, each, float64(bound))
 	require.Less(t, each, float64(aim), "24 bytes for each of 1,000 destinations in 21,000 messages are 1.2 of it")
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkBacklog tells what spilled messages cost (-benchtime 3x: three opens, the last one's time is told). RAVENLINK_BACKLOG is another
-// count of them.
+// BenchmarkBacklog measures the cost of spilled messages (with -benchtime 3x it opens the folder three times, and reports the last
+// duration). RAVENLINK_BACKLOG sets another number of messages.
 func BenchmarkBacklog(b *testing.B) {
 	counts := []int{10_000, 100_000, 1_000_000}
 	if own, err := strconv.Atoi(os.Getenv("RAVENLINK_BACKLOG")); err == nil {
@@ -75,42 +76,42 @@
 	for _, count := range counts {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			dir := b.TempDir()
-			s, _, err := OpenBacklog(dir, lots)
+			s, _, err := OpenBacklog(dir, largeCapacity)
 			require.NoError(b, err)
 			began := time.Now()
-			b.ReportMetric(float64(stock(b, s, 0, count).Microseconds())/1000, "worst-spill-ms")
+			b.ReportMetric(float64(spillMany(b, s, 0, count).Microseconds())/1000, "worst-spill-ms")
 			spill := time.Since(began)
 			require.NoError(b, s.Close())
 			b.ReportMetric(float64(count)/spill.Seconds(), "spills/s")
 			s = nil
-			heapBefore, rssBefore := heap(), rssAnon(b)
+			heapBefore, rssBefore := heapSize(), rssAnon(b)
 			for range b.N {
 				began = time.Now()
-				s, _, err = OpenBacklog(dir, lots)
+				s, _, err = OpenBacklog(dir, largeCapacity)
 				require.NoError(b, err)
 				b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "open-ms")
 			}
 			b.StopTimer()
-			require.Equal(b, count, s.SpilledAll())
+			require.Equal(b, count, s.SpilledTotal())
 			first := rssAnon(b) - rssBefore
-			b.ReportMetric(float64(heap()-heapBefore)/(1<<20), "heap-MiB")
+			b.ReportMetric(float64(heapSize()-heapBefore)/(1<<20), "heap-MiB")
 			b.ReportMetric(float64(rssAnon(b)-rssBefore)/(1<<20), "rss-MiB")
 			b.ReportMetric(float64(first)/(1<<20), "rss-at-open-MiB")
 			bytes := int64(0)
-			for _, seg := range s.order {
+			for _, seg := range s.segments {
 				bytes += seg.size
 			}
 			b.ReportMetric(float64(bytes)/float64(count), "segment-B/msg")
-			b.ReportMetric(float64(s.used()-bytes)/float64(count), "index-B/msg")
-			loadAll(b, s, 64)
+			b.ReportMetric(float64(s.usedBytes()-bytes)/float64(count), "index-B/msg")
+			benchmarkLoads(b, s, 64)
 			require.NoError(b, s.Close())
 		})
 	}
 }
 
-// loadAll loads some at a time for each destination by turns, at most 100,000, and looks for ids.
-func loadAll(b *testing.B, s *Spool, some int) {
-	for i := range 20_000 { // each index is checked once
+// benchmarkLoads loads a batch for each destination by turns, up to 100,000 messages, and looks up IDs.
+func benchmarkLoads(b *testing.B, s *Spool, some int) {
+	for i := range 20_000 { // verifies each index once
 		s.Has(strconv.Itoa(i))
 	}
 	began, hits := time.Now(), 0
@@ -123,8 +124,8 @@
 	b.ReportMetric(float64(time.Since(began).Nanoseconds())/2000, "has-ns")
 	began = time.Now()
 	loaded := 0
-	for loaded < 100_000 && s.SpilledAll() > 0 {
-		for _, dst := range s.SpilledTo() {
+	for loaded < 100_000 && s.SpilledTotal() > 0 {
+		for _, dst := range s.SpilledDestinations() {
 			ms, err := s.Load(dst, some)
 			require.NoError(b, err)
 			loaded += len(ms)
@@ -136,18 +137,18 @@
 // BenchmarkOpenNewest opens a folder whose newest segment is nearly full and has no index, as after a kill.
 func BenchmarkOpenNewest(b *testing.B) {
 	dir := b.TempDir()
-	s, _, err := OpenBacklog(dir, lots)
+	s, _, err := OpenBacklog(dir, largeCapacity)
 	require.NoError(b, err)
-	stock(b, s, 0, 26_000)
-	require.Len(b, s.order, 1)
+	spillMany(b, s, 0, 26_000)
+	require.Len(b, s.segments, 1)
 	for range b.N {
 		b.StopTimer()
 		next := b.TempDir()
 		require.NoError(b, os.CopyFS(next, os.DirFS(dir)))
 		b.StartTimer()
-		again, _, err := OpenBacklog(next, lots)
+		again, _, err := OpenBacklog(next, largeCapacity)
 		require.NoError(b, err)
-		require.Equal(b, 26_000, again.SpilledAll())
+		require.Equal(b, 26_000, again.SpilledTotal())
 		_ = again.Close()
 	}
 }
