--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -9,49 +9,51 @@
 	"strings"
 )
 
-// The faults of a purge, told apart by callers.
+// Errors of a purge that callers distinguish.
 var (
-	ErrFenced  = errors.New("spool: the message is older than a purge of its tenant")
-	ErrOwed    = errors.New("spool: messages to be erased are not over yet")
-	ErrStrange = errors.New("spool: files that cannot be read may hold data to be erased")
+	ErrFenced     = errors.New("spool: message is older than a purge of its tenant")
+	ErrPending    = errors.New("spool: messages to be erased are still pending")
+	ErrUnreadable = errors.New("spool: files that cannot be read may hold data to be erased")
 )
 
-const countBits = 32 // of marks, for messages of one process; above them stands the highest segment's number, which outlasts it
+// acceptCountBits is the number of low bits of an acceptance number that count the messages of one process. The bits above hold the
+// highest segment number, which survives the process.
+const acceptCountBits = 32
 
-// Purged is what a purge did.
-type Purged struct {
-	Segments int   // removed
-	Read     int64 // bytes
-	Copied   int64 // bytes, of what stays
+// PurgeResult describes the work of a purge.
+type PurgeResult struct {
+	Segments    int // removed
+	BytesRead   int64
+	BytesCopied int64 // bytes of the data that stays
 }
 
-// mark is above that of all messages taken so far, and not above that of the next. The newest segment always stays, so the highest
-// number is there after each restart, and a process that starts takes a higher one.
-func (s *Spool) mark() int64 { return s.last<<countBits | s.count }
+// lastSeq returns a number that is not below that of any message accepted so far, and not above that of the next. The newest segment is
+// never removed, so the highest number is found at each restart, and a new process takes a higher one.
+func (s *Spool) lastSeq() int64 { return s.lastNumber<<acceptCountBits | s.acceptCount }
 
-// Fence has messages refused from now on that are older than a purge, and gives the mark of the latest one taken.
+// Fence refuses messages older than a purge from now on, and returns the acceptance number of the latest message.
 func (s *Spool) Fence(old func(*Message) bool) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fenced = old
-	return s.mark()
+	s.fence = old
+	return s.lastSeq()
 }
 
-// Owing lists messages that match and are under way, spilled ones too, and counts those that ended and whose notice is owed.
-// Spilled ones are read from the files.
-func (s *Spool) Owing(match func(*Message) bool) (open []string, ended int) {
-	open, ended, _ = s.owing(match) // what cannot be read has a purge fail
+// PendingMatching lists the messages in progress that match, including spilled ones, and counts those that ended and whose notice is
+// pending. Spilled messages are read from the files.
+func (s *Spool) PendingMatching(match func(*Message) bool) (open []string, ended int) {
+	open, ended, _ = s.pendingMatching(match) // for unreadable files Purge fails
 	return open, ended
 }
 
-func (s *Spool) owing(match func(*Message) bool) (open []string, ended int, err error) {
+func (s *Spool) pendingMatching(match func(*Message) bool) (open []string, ended int, err error) {
 	if s.backlog == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		open, ended = s.working(match)
+		open, ended = s.activeMatching(match)
 	} else {
-		err = s.spilledIDs(match, func(ids []string) {
-			open, ended = s.working(match)
+		err = s.matchSpilled(match, func(ids []string) {
+			open, ended = s.activeMatching(match)
 			open = append(open, ids...)
 		})
 	}
@@ -59,9 +61,9 @@
 	return open, ended, err
 }
 
-// working is owing of what is not spilled.
-func (s *Spool) working(match func(*Message) bool) (open []string, ended int) {
-	for _, m := range s.owed {
+// activeMatching is pendingMatching without the spilled messages.
+func (s *Spool) activeMatching(match func(*Message) bool) (open []string, ended int) {
+	for _, m := range s.pending {
 		switch {
 		case !match(m):
 		case m.Ended:
@@ -73,21 +75,22 @@
 	return open, ended
 }
 
-// Purge has no byte of messages that match left in the folder, of those long over too. None may be under way: they end first, by the usual
-// path. Of those that ended and whose notice is owed the body and keys go. All segments up to the newest that holds any go, oldest
-// first, what is owed of them copied forward: at each point a restart owes what it owed. After an error it can be repeated.
-func (s *Spool) Purge(match func(*Message) bool) (p Purged, err error) {
-	if err := s.strip(match); err != nil {
+// Purge removes every byte of matching messages from the folder, also of those completed long ago. None may be in progress: callers end
+// them first, by the usual path. Messages that ended and whose notice is pending lose body and keys. All segments up to the newest with
+// matching data are removed, oldest first, with their pending messages copied forward: a restart at any point restores the same pending
+// messages. After an error, Purge can be repeated.
+func (s *Spool) Purge(match func(*Message) bool) (p PurgeResult, err error) {
+	if err := s.markErased(match); err != nil {
 		return p, err
 	}
-	last, read, err := s.newestWith(match)
-	p.Read = read
+	last, read, err := s.newestMatchingSegment(match)
+	p.BytesRead = read
 	if err != nil || last == 0 {
 		return p, err
 	}
 	for {
 		more, copied, err := s.removeUpTo(last)
-		p.Copied += copied
+		p.BytesCopied += copied
 		if err != nil {
 			return p, err
 		}
@@ -98,153 +101,153 @@
 	}
 }
 
-// strip marks those that ended; their next record has neither body nor keys.
-func (s *Spool) strip(match func(*Message) bool) error {
+// markErased marks messages that ended; their next record has neither body nor keys.
+func (s *Spool) markErased(match func(*Message) bool) error {
 	if s.backlog != nil {
-		if err := s.spilledNone(match); err != nil {
+		if err := s.ensureNoneSpilled(match); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.strange) > 0 {
-		return fmt.Errorf("%w: %s", ErrStrange, strings.Join(s.strange, ", "))
+	if len(s.unreadable) > 0 {
+		return fmt.Errorf("%w: %s", ErrUnreadable, strings.Join(s.unreadable, ", "))
 	}
 	open := 0
-	for _, m := range s.owed {
+	for _, m := range s.pending {
 		if match(m) && !m.Ended {
 			open++
 		}
 	}
 	if open > 0 {
-		return fmt.Errorf("%w: %d", ErrOwed, open)
+		return fmt.Errorf("%w: %d", ErrPending, open)
 	}
-	for _, m := range s.owed {
+	for _, m := range s.pending {
 		if match(m) {
-			m.Bare = true
+			m.Erased = true
 		}
 	}
 	return nil
 }
 
-// spilledNone makes sure that nothing that matches is spilled. Danger: by its record it would be erased while it is owed.
-func (s *Spool) spilledNone(match func(*Message) bool) error {
-	open, _, err := s.owing(match)
+// ensureNoneSpilled checks that no spilled message matches. The purge would otherwise erase its record while it is still pending.
+func (s *Spool) ensureNoneSpilled(match func(*Message) bool) error {
+	open, _, err := s.pendingMatching(match)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrStrange, err)
+		return fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	if len(open) > 0 {
-		return fmt.Errorf("%w: %d", ErrOwed, len(open))
+		return fmt.Errorf("%w: %d", ErrPending, len(open))
 	}
 	return nil
 }
 
-// Stripped tells whether a message's body was erased.
-func (s *Spool) Stripped(m *Message) bool {
+// IsErased reports whether a message's body was erased.
+func (s *Spool) IsErased(m *Message) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return m.Bare
+	return m.Erased
 }
 
-// newestWith finds the newest segment with a record of a message that matches; 0 for none. It reads without the lock: segments but the
-// newest do not change, and nothing that matches is written any more.
-func (s *Spool) newestWith(match func(*Message) bool) (last, read int64, err error) {
+// newestMatchingSegment returns the number of the newest segment with a record of a matching message, or 0. It reads without the lock:
+// only the newest segment changes, and no matching message is written any more.
+func (s *Spool) newestMatchingSegment(match func(*Message) bool) (last, read int64, err error) {
 	s.mu.Lock()
-	segs := make([]*segment, len(s.order))
-	copy(segs, s.order)
+	segs := make([]*segment, len(s.segments))
+	copy(segs, s.segments)
 	s.mu.Unlock()
 	found := map[string]bool{}
 	for i, seg := range segs {
-		n, dirty, err := s.scan(seg, match, found, i == len(segs)-1)
+		n, matches, err := s.countRecords(seg, match, found, i == len(segs)-1)
 		read += n
 		if err != nil {
 			return 0, read, err
 		}
-		if dirty > 0 {
+		if matches > 0 {
 			last = seg.number
 		}
 	}
 	return last, read, nil
 }
 
-// scan counts what a segment holds of messages that match, by ids found in earlier ones too. Bytes after the last whole record may be
-// anything, and count; in the newest one they may be a record on its way.
-func (s *Spool) scan(seg *segment, match func(*Message) bool, found map[string]bool, newest bool) (size int64, dirty int, err error) {
-	data, err := os.ReadFile(s.path(seg))
-	if os.IsNotExist(err) { // gone meanwhile
+// countRecords counts the records of matching messages in a segment, including those whose ID was found in earlier segments. Bytes after
+// the last whole record may be anything, and count as one; in the newest segment they may be a record being written.
+func (s *Spool) countRecords(seg *segment, match func(*Message) bool, found map[string]bool, newest bool) (size int64, matches int, err error) {
+	data, err := os.ReadFile(s.segmentPath(seg))
+	if os.IsNotExist(err) { // removed meanwhile
 		return 0, 0, nil
 	}
 	if err != nil {
 		return 0, 0, fmt.Errorf("spool: %w", err)
 	}
 	size = int64(len(data))
-	left, _ := strings.CutPrefix(string(data), magic)
-	record, rest := next([]byte(left))
-	for ; record != nil; record, rest = next(rest) {
-		d := &decoder{left: record[1:]}
-		id := string(d.text())
-		if record[0] == recTaken {
-			if m := readMessage(id, d); !d.bad && match(m) && !m.Bare {
+	content, _ := strings.CutPrefix(string(data), segmentMagic)
+	record, rest := nextRecord([]byte(content))
+	for ; record != nil; record, rest = nextRecord(rest) {
+		d := &decoder{rest: record[1:]}
+		id := string(d.bytes())
+		if record[0] == recAccepted {
+			if m := decodeMessage(id, d); !d.failed && match(m) && !m.Erased {
 				found[id] = true
-			} else if m.Bare {
+			} else if m.Erased {
 				continue
 			}
 		}
 		if found[id] {
-			dirty++
+			matches++
 		}
 	}
 	if len(rest) > 0 && !newest {
-		dirty++
+		matches++
 	}
-	return size, dirty, nil
+	return size, matches, nil
 }
 
-// removeUpTo removes the oldest segment if it is not above a number, what is owed of it copied forward.
+// removeUpTo removes the oldest segment unless its number is above last, after copying its pending messages forward.
 func (s *Spool) removeUpTo(last int64) (more bool, copied int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	oldest := s.order[0]
+	oldest := s.segments[0]
 	if oldest.number > last {
 		return false, 0, nil
 	}
-	if s.now().number <= last {
-		if !s.fits(0, s.room) {
+	if s.newestSegment().number <= last {
+		if !s.fits(0, s.capacity) {
 			return false, 0, ErrFull
 		}
 		if err := s.startSegment(); err != nil {
 			return false, 0, err
 		}
 	}
-	copied = oldest.live
-	if !s.forward(oldest) {
-		return false, 0, fmt.Errorf("%w: %d bytes owed in the oldest segment have to be copied", ErrFull, copied)
+	copied = oldest.liveBytes
+	if !s.copyForward(oldest) {
+		return false, 0, fmt.Errorf("%w: %d pending bytes of the oldest segment must be copied", ErrFull, copied)
 	}
 	if err := s.file.Sync(); err != nil {
 		return false, copied, fmt.Errorf("spool: %w", err)
 	}
-	if !s.remove(oldest) {
-		return false, copied, fmt.Errorf("spool: %s cannot be removed", filepath.Base(s.path(oldest)))
+	if !s.removeOldest(oldest) {
+		return false, copied, fmt.Errorf("spool: %s cannot be removed", filepath.Base(s.segmentPath(oldest)))
 	}
 	return true, copied, nil
 }
 
-// Holds reads the files back and counts the records left of messages that match.
-func (s *Spool) Holds(match func(*Message) bool) (n int, err error) {
+// CountMatching reads the files and counts the remaining records of matching messages.
+func (s *Spool) CountMatching(match func(*Message) bool) (n int, err error) {
 	s.mu.Lock()
-	segs := make([]*segment, len(s.order))
-	copy(segs, s.order)
-	strange := len(s.strange)
+	segs := make([]*segment, len(s.segments))
+	copy(segs, s.segments)
+	unreadable := len(s.unreadable)
 	s.mu.Unlock()
 	found := map[string]bool{}
 	for i, seg := range segs {
-		_, dirty, err := s.scan(seg, match, found, i == len(segs)-1)
+		_, matches, err := s.countRecords(seg, match, found, i == len(segs)-1)
 		if err != nil {
 			return n, err
 		}
-		n += dirty
+		n += matches
 	}
-	return n + strange, nil
+	return n + unreadable, nil
 }
 
 func syncDir(dir string) error {
--- a/internal/spool/scan.go
+++ b/internal/spool/scan.go
@@ -9,73 +9,73 @@
 	"slices"
 )
 
-const mostHeld = 16 << 20 // bytes of a segment that a scan reads at once; of a longer one it reads record by record
+const maxBufferedSegment = 16 << 20 // bytes; a scan reads longer segments record by record, others at once
 
-// view is what a scan needs of a segment, taken with the lock held and read without it.
-type view struct {
-	seg     *segment
-	path    string
-	index   string
-	image   []byte
-	shape   shape
-	spilled bitmap
-	size    int64
+// segmentView is the data that a scan needs of a segment. It is taken with the lock held and used without it.
+type segmentView struct {
+	seg       *segment
+	path      string
+	indexPath string
+	image     []byte
+	layout    layout
+	spilled   bitmap
+	size      int64
 }
 
-// nextView is that of the first sealed segment behind a number in which something is spilled.
-func (s *Spool) nextView(after int64) (v view, ok bool) {
-	for _, seg := range s.order {
-		if r := seg.sealed; r != nil && seg.number > after && r.left > 0 {
-			_, _ = s.check(seg) // hits tells of an index that is not whole
-			return view{seg: seg, path: s.path(seg), index: s.indexPath(seg), image: r.image, shape: r.shape,
+// nextView returns the view of the next sealed segment after a number that has spilled messages.
+func (s *Spool) nextView(after int64) (v segmentView, ok bool) {
+	for _, seg := range s.segments {
+		if r := seg.sealed; r != nil && seg.number > after && r.spilledCount > 0 {
+			_, _ = s.verifyIndex(seg) // matches reports an index that is damaged
+			return segmentView{seg: seg, path: s.segmentPath(seg), indexPath: s.indexPath(seg), image: r.image, layout: r.layout,
 				spilled: slices.Clone(r.spilled), size: seg.size}, true
 		}
 	}
-	return view{}, false
+	return segmentView{}, false
 }
 
-// hits lists up to most messages of a sealed segment that match and were spilled when the view was taken.
-func (v view) hits(match func(*Message) bool, most int) (picks []pick, ids []string, err error) {
+// matches lists up to limit messages of a sealed segment that match and were spilled when the view was taken.
+func (v segmentView) matches(match func(*Message) bool, limit int) (candidates []candidate, ids []string, err error) {
 	data := v.image
 	if data == nil {
-		if data, err = os.ReadFile(v.index); err != nil {
+		if data, err = os.ReadFile(v.indexPath); err != nil {
 			return nil, nil, fmt.Errorf("spool: %w", err)
 		}
 	}
-	if int64(len(data)) != v.shape.size() || !bodyWhole(data[v.shape.bodyAt():]) {
-		return nil, nil, fmt.Errorf("%w: %s", errIndex, v.index)
+	if int64(len(data)) != v.layout.size() || !bodyIntact(data[v.layout.bodyAt():]) {
+		return nil, nil, fmt.Errorf("%w: %s", errBadIndex, v.indexPath)
 	}
-	f, err := openAll(v.path, v.size)
+	f, err := openBuffered(v.path, v.size)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer func() { _ = f.Close() }()
-	eachEntry(data[v.shape.bodyAt():], v.shape, func(_ uint32, e *entry) {
-		if len(picks) >= most || !v.spilled.has(e.slot) {
+	eachEntry(data[v.layout.bodyAt():], v.layout, func(_ uint32, e *entry) {
+		if len(candidates) >= limit || !v.spilled.has(e.slot) {
 			return
 		}
-		m, failed := readMessageAt(f, e)
-		if failed != nil && !errors.Is(failed, errRecord) {
-			err = failed
+		m, readErr := readMessageAt(f, e)
+		if readErr != nil && !errors.Is(readErr, errBadRecord) {
+			err = readErr
 		}
-		if failed == nil && match(m) {
-			picks, ids = append(picks, pick{v.seg, *e}), append(ids, m.ID)
+		if readErr == nil && match(m) {
+			candidates, ids = append(candidates, candidate{v.seg, *e}), append(ids, m.ID)
 		}
 	})
-	return picks, ids, err
+	return candidates, ids, err
 }
 
-// unlessGone is no fault when the segment went meanwhile: what was owed of it stands in a later one, which comes next.
-func (s *Spool) unlessGone(v view, err error) error {
-	if s.numbered(v.seg.number) == nil {
+// ignoreIfRemoved drops an error if the segment was removed meanwhile: its pending messages are in a later one, which is read next.
+func (s *Spool) ignoreIfRemoved(v segmentView, err error) error {
+	if s.segmentByNumber(v.seg.number) == nil {
 		return nil
 	}
 	return err
 }
 
-// openAll reads a segment that is not too long at once.
-func openAll(path string, size int64) (file, error) {
-	if size > mostHeld {
+// openBuffered reads a segment into memory unless it is too long.
+func openBuffered(path string, size int64) (randomReader, error) {
+	if size > maxBufferedSegment {
 		f, err := os.Open(path)
 		if err != nil {
 			return nil, fmt.Errorf("spool: %w", err)
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
-	return held{bytes.NewReader(data)}, nil
+	return memoryFile{bytes.NewReader(data)}, nil
 }
 
 func readMessageAt(f io.ReaderAt, e *entry) (*Message, error) {
@@ -94,107 +94,107 @@
 	if err != nil {
 		return nil, err
 	}
-	m, err := decode(data)
-	if err != nil || hashOf(m.ID) != e.id {
-		return nil, errRecord
+	m, err := decodeAccepted(data)
+	if err != nil || hashID(m.ID) != e.id {
+		return nil, errBadRecord
 	}
 	return m, nil
 }
 
-// newestHits is hits for the newest segment; it reads with the lock held, at most that one segment.
-func (s *Spool) newestHits(match func(*Message) bool, most int) (picks []pick, ids []string, err error) {
+// newestMatches is matches for the newest segment; it reads that one segment with the lock held.
+func (s *Spool) newestMatches(match func(*Message) bool, limit int) (candidates []candidate, ids []string, err error) {
 	n := s.backlog.newest
-	if n.left == 0 {
+	if n.spilledCount == 0 {
 		return nil, nil, nil
 	}
-	f, err := openAll(s.path(n.seg), n.seg.size)
+	f, err := openBuffered(s.segmentPath(n.seg), n.seg.size)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer func() { _ = f.Close() }()
-	for i := 0; i < len(n.entries) && len(picks) < most; i++ {
+	for i := 0; i < len(n.entries) && len(candidates) < limit; i++ {
 		e := &n.entries[i]
 		if !e.spilled {
 			continue
 		}
-		m, failed := readMessageAt(f, &e.entry)
-		if failed != nil && !errors.Is(failed, errRecord) {
-			err = failed
+		m, readErr := readMessageAt(f, &e.entry)
+		if readErr != nil && !errors.Is(readErr, errBadRecord) {
+			err = readErr
 		}
-		if failed == nil && match(m) {
-			picks, ids = append(picks, pick{n.seg, e.entry}), append(ids, m.ID)
+		if readErr == nil && match(m) {
+			candidates, ids = append(candidates, candidate{n.seg, e.entry}), append(ids, m.ID)
 		}
 	}
-	return picks, ids, err
+	return candidates, ids, err
 }
 
-// spilledIDs lists those of spilled messages that match, and calls last with the lock still held. Sealed segments are read without the lock.
-// What is moved or drawn meanwhile stands in a later segment, which is read later, or works: last sees it.
-func (s *Spool) spilledIDs(match func(*Message) bool, last func(ids []string)) (err error) {
+// matchSpilled lists the IDs of spilled messages that match, and calls finish with the lock still held. Sealed segments are read without
+// the lock. Messages moved or loaded meanwhile are in a later segment, which is read later, or active: finish sees them.
+func (s *Spool) matchSpilled(match func(*Message) bool, finish func(ids []string)) (err error) {
 	type hit struct {
-		pick
+		candidate
 		id string
 	}
-	var hits []hit
+	var foundEntries []hit
 	s.mu.Lock()
 	for v, ok := s.nextView(0); ok; v, ok = s.nextView(v.seg.number) {
 		s.mu.Unlock()
-		picks, ids, failed := v.hits(match, maxInt)
-		for i := range picks {
-			hits = append(hits, hit{picks[i], ids[i]})
+		candidates, ids, scanErr := v.matches(match, maxInt)
+		for i := range candidates {
+			foundEntries = append(foundEntries, hit{candidates[i], ids[i]})
 		}
 		s.mu.Lock()
-		err = errors.Join(err, s.unlessGone(v, failed))
+		err = errors.Join(err, s.ignoreIfRemoved(v, scanErr))
 	}
 	defer s.mu.Unlock()
-	_, ids, failed := s.newestHits(match, maxInt)
-	for _, h := range hits {
+	_, ids, scanErr := s.newestMatches(match, maxInt)
+	for _, h := range foundEntries {
 		if s.backlog.isSpilled(h.seg, h.slot) {
 			ids = append(ids, h.id)
 		}
 	}
-	last(ids)
-	return errors.Join(err, failed)
+	finish(ids)
+	return errors.Join(err, scanErr)
 }
 
-// LoadMatching is Load for up to n messages that match, so that they end by the usual path. It reads all that is spilled, in the worst
-// case; the lock is not held while it reads sealed segments. Called until nothing comes, it has all that were spilled at first.
+// LoadMatching is Load for up to n messages that match, so that they can end by the usual path. In the worst case it reads everything
+// that is spilled, sealed segments without the lock. Repeated calls until none is returned cover all messages spilled at the first call.
 func (s *Spool) LoadMatching(match func(*Message) bool, n int) (all []*Message, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backlog == nil {
-		return nil, ErrOff
+		return nil, ErrBacklogDisabled
 	}
 	after := int64(0)
 	for v, ok := s.nextView(after); ok && len(all) < n; v, ok = s.nextView(after) {
 		s.mu.Unlock()
-		picks, _, failed := v.hits(match, n-len(all))
+		candidates, _, scanErr := v.matches(match, n-len(all))
 		s.mu.Lock()
-		some, hard := s.drawThese(picks, n-len(all))
-		all, err = append(all, some...), errors.Join(err, s.unlessGone(v, failed))
-		if hard != nil { // the next would fail too
-			return s.tell(all, errors.Join(err, hard))
+		batch, loadErr := s.loadIfSpilled(candidates, n-len(all))
+		all, err = append(all, batch...), errors.Join(err, s.ignoreIfRemoved(v, scanErr))
+		if loadErr != nil { // the next load would fail too
+			return s.joinDamage(all, errors.Join(err, loadErr))
 		}
-		if len(some) == len(picks) { // else others drew some of them, and more may match
+		if len(batch) == len(candidates) { // otherwise other calls loaded some of them, and more may match
 			after = v.seg.number
 		}
 	}
 	if len(all) < n {
-		picks, _, failed := s.newestHits(match, n-len(all))
-		some, hard := s.drawThese(picks, n-len(all))
-		all, err = append(all, some...), errors.Join(err, failed, hard)
+		candidates, _, scanErr := s.newestMatches(match, n-len(all))
+		batch, loadErr := s.loadIfSpilled(candidates, n-len(all))
+		all, err = append(all, batch...), errors.Join(err, scanErr, loadErr)
 	}
-	return s.tell(all, err)
+	return s.joinDamage(all, err)
 }
 
-// drawThese draws those that are still spilled where they were found.
-func (s *Spool) drawThese(picks []pick, n int) ([]*Message, error) {
-	return s.draw(n, func(n int) (some []pick, _ error) {
-		for _, p := range picks {
-			if len(some) < n && s.backlog.isSpilled(p.seg, p.slot) {
-				some = append(some, p)
+// loadIfSpilled loads the candidates that are still spilled at their position.
+func (s *Spool) loadIfSpilled(candidates []candidate, n int) ([]*Message, error) {
+	return s.load(n, func(n int) (batch []candidate, _ error) {
+		for _, c := range candidates {
+			if len(batch) < n && s.backlog.isSpilled(c.seg, c.slot) {
+				batch = append(batch, c)
 			}
 		}
-		return some, nil
+		return batch, nil
 	})
 }
--- a/internal/spool/seal.go
+++ b/internal/spool/seal.go
@@ -8,112 +8,112 @@
 )
 
 const (
-	mostSegment = 4 << 20 // bytes, with the backlog on: bounds the replay at a start
-	mostSlots   = 26_000  // taken records of a segment and dead ones that its index tells of: bounds memory and the time that sealing takes
-	mostImages  = 4       // indexes that wait in memory to be written, before nothing more is taken on
-	perWorking  = 48      // bytes of an index, about, for each message that is working
+	maxSegmentSize      = 4 << 20 // bytes, with the backlog enabled: bounds the replay at a start
+	maxSlots            = 26_000  // accepted records of a segment plus dead entries in its index: bounds memory and the duration of sealing
+	maxUnwrittenIndexes = 4       // indexes held in memory until they can be written; at this number no further message is accepted
+	stateSizeEstimate   = 48      // bytes, approximate size in the index of an active message's state
 )
 
-// sealed is what memory keeps of a segment that is written no more.
+// sealed is the in-memory state of a segment that is not written any more.
 type sealed struct {
-	shape   shape
-	spilled bitmap // by slot
-	left    int    // bits set
-	filter  filter // of ids; nil once nothing is spilled
-	due     int64  // lower bound of Expires of what is spilled, µs since 1970
-	cursor  uint32 // into the order by Expires: nothing in front of it is spilled
-	image   []byte // the index, as long as it could not be written; nil then
-	checked bool   // the body of the index was found whole
-	trusted bool   // and again, when a record was not
-	pinned  bool   // some that could not be read are kept for the next start
+	layout         layout
+	spilled        bitmap // by slot
+	spilledCount   int    // bits set
+	filter         filter // of IDs; nil once nothing is spilled
+	minExpiry      int64  // lower bound of Expires of the spilled messages, µs since 1970
+	expiryCursor   uint32 // position in the expiry order; no earlier entry is spilled
+	image          []byte // the encoded index until it is written, then nil
+	bodyVerified   bool   // the body of the index was found intact
+	bodyReverified bool   // checked again after a damaged record
+	pinned         bool   // has unreadable messages that are kept for the next start
 }
 
-// slotted is an entry of the newest segment.
-type slotted struct {
+// newestEntry is an entry of the newest segment.
+type newestEntry struct {
 	entry
-	owed, spilled bool
+	pending, spilled bool
 }
 
-// list is what the newest segment holds for one destination.
-type list struct {
+// slotList lists the slots of one destination in the newest segment.
+type slotList struct {
 	slots    []uint32
-	next     int // none in front of it is spilled
+	next     int // no earlier slot is spilled
 	unsorted bool
 }
 
-// newest is what memory keeps of the segment written to. It is bounded by the segment's size, and emptied when that is sealed.
-type newest struct {
-	seg     *segment
-	entries []slotted         // of all taken records, by slot
-	byID    map[uint64]uint32 // the latest slot
-	byDst   map[int64]*list
-	dead    []dead // of older segments, that records of this one ended or moved
-	owed    int
-	left    int   // spilled
-	due     int64 // lower bound, as of a sealed one
+// newestState is the in-memory state of the newest segment. The segment's size bounds it, and sealing discards it.
+type newestState struct {
+	seg          *segment
+	entries      []newestEntry     // of all accepted records, by slot
+	byID         map[uint64]uint32 // the latest slot
+	byDst        map[int64]*slotList
+	dead         []deadEntry // entries of older segments that records of this one completed or moved
+	pending      int
+	spilledCount int
+	minExpiry    int64 // lower bound, as in sealed
 }
 
-func newNewest(seg *segment) *newest {
-	return &newest{seg: seg, byID: map[uint64]uint32{}, byDst: map[int64]*list{}, due: never}
+func newNewestState(seg *segment) *newestState {
+	return &newestState{seg: seg, byID: map[uint64]uint32{}, byDst: map[int64]*slotList{}, minExpiry: noExpiry}
 }
 
-// add enters a taken record.
-func (n *newest) add(e entry, spilled bool) uint32 {
+// add adds an accepted record.
+func (n *newestState) add(e entry, spilled bool) uint32 {
 	e.slot = uint32(len(n.entries))
-	n.entries = append(n.entries, slotted{entry: e, owed: true})
+	n.entries = append(n.entries, newestEntry{entry: e, pending: true})
 	n.byID[e.id] = e.slot
 	l := n.byDst[e.dst]
 	if l == nil {
-		l = &list{}
+		l = &slotList{}
 		n.byDst[e.dst] = l
 	}
 	if k := len(l.slots); k > 0 && e.compare(&n.entries[l.slots[k-1]].entry) < 0 {
 		l.unsorted = true
 	}
 	l.slots = append(l.slots, e.slot)
-	n.owed++
+	n.pending++
 	if spilled {
 		n.spill(e.slot)
 	}
 	return e.slot
 }
 
-func (n *newest) spill(slot uint32) {
+func (n *newestState) spill(slot uint32) {
 	e := &n.entries[slot]
 	if !e.spilled {
 		e.spilled = true
-		n.left++
-		n.due = min(n.due, e.expires)
+		n.spilledCount++
+		n.minExpiry = min(n.minExpiry, e.expires)
 		n.byDst[e.dst].next = 0
 	}
 }
 
-func (n *newest) unspill(slot uint32) {
+func (n *newestState) unspill(slot uint32) {
 	if e := &n.entries[slot]; e.spilled {
 		e.spilled = false
-		if n.left--; n.left == 0 {
-			n.due = never
+		if n.spilledCount--; n.spilledCount == 0 {
+			n.minExpiry = noExpiry
 		}
 	}
 }
 
-// die forgets a slot that is owed no more, or not here.
-func (n *newest) die(slot uint32) {
+// markDead marks a slot as completed or moved.
+func (n *newestState) markDead(slot uint32) {
 	n.unspill(slot)
-	if e := &n.entries[slot]; e.owed {
-		e.owed = false
-		n.owed--
+	if e := &n.entries[slot]; e.pending {
+		e.pending = false
+		n.pending--
 	}
 }
 
-// sorted lists what is owed by destination, and within it in the order taken on.
-func (n *newest) sorted() []entry {
-	all := make([]entry, 0, n.owed)
+// sortedPending lists pending entries by destination, and by acceptance within each.
+func (n *newestState) sortedPending() []entry {
+	all := make([]entry, 0, n.pending)
 	for _, dst := range slices.Sorted(maps.Keys(n.byDst)) {
 		l := n.byDst[dst]
-		n.sort(l)
+		n.sortSlots(l)
 		for _, slot := range l.slots {
-			if e := &n.entries[slot]; e.owed {
+			if e := &n.entries[slot]; e.pending {
 				all = append(all, e.entry)
 			}
 		}
@@ -121,35 +121,35 @@
 	return all
 }
 
-// sort has the slots of a destination stand in the order taken on.
-func (n *newest) sort(l *list) {
+// sortSlots sorts the slots of a destination by acceptance.
+func (n *newestState) sortSlots(l *slotList) {
 	if l.unsorted {
 		slices.SortFunc(l.slots, func(a, b uint32) int { return n.entries[a].compare(&n.entries[b].entry) })
 		l.unsorted, l.next = false, 0
 	}
 }
 
-// full tells whether there is enough to seal. Danger: sealing sorts it all with the lock held.
-func (n *newest) full(most int) bool { return len(n.entries)+len(n.dead) >= most }
+// isFull reports whether the segment has to be sealed. Sealing sorts all entries with the lock held, hence the limit.
+func (n *newestState) isFull(limit int) bool { return len(n.entries)+len(n.dead) >= limit }
 
-// indexSize is about that of the index to come.
-func (n *newest) indexSize(working int) int64 {
-	p := shape{slots: uint32(len(n.entries)), entries: uint32(n.owed), runs: uint32(min(n.owed, len(n.byDst))), dead: uint32(len(n.dead)),
-		states: uint32(working * perWorking)}
+// estimateIndexSize estimates the size of the segment's future index.
+func (n *newestState) estimateIndexSize(active int) int64 {
+	p := layout{slots: uint32(len(n.entries)), entries: uint32(n.pending), runs: uint32(min(n.pending, len(n.byDst))), dead: uint32(len(n.dead)),
+		states: uint32(active * stateSizeEstimate)}
 	return p.size()
 }
 
-// seal makes the index of the segment that was the newest. One that cannot be written waits in memory and is tried again.
+// seal creates the index of the segment that was the newest. An index that cannot be written stays in memory, and the write is retried.
 func (s *Spool) seal() {
 	b := s.backlog
 	n := b.newest
 	if n == nil {
 		return
 	}
-	c := contents{number: n.seg.number, size: n.seg.size, slots: uint32(len(n.entries)), entries: n.sorted(), dead: n.dead,
-		states: encodeStates(s.owed)}
-	r := &sealed{spilled: newBitmap(c.slots), left: n.left, filter: newFilter(len(c.entries))}
-	r.image, r.shape = c.encode()
+	c := indexContents{number: n.seg.number, size: n.seg.size, slots: uint32(len(n.entries)), entries: n.sortedPending(), dead: n.dead,
+		states: encodeStates(s.pending)}
+	r := &sealed{spilled: newBitmap(c.slots), spilledCount: n.spilledCount, filter: newFilter(len(c.entries))}
+	r.image, r.layout = c.encode()
 	for i := range c.entries {
 		if e := &c.entries[i]; n.entries[e.slot].spilled {
 			r.spilled.set(e.slot)
@@ -157,45 +157,45 @@
 		r.filter.add(c.entries[i].id)
 	}
 	n.seg.sealed, b.newest = r, nil
-	b.weigh(n.seg, 1)
-	b.waiting++
-	b.settle(n.seg, c.entries, false)
-	s.flush()
+	b.addUsage(n.seg, 1)
+	b.unwritten++
+	b.addRuns(n.seg, c.entries, false)
+	s.flushIndexes()
 }
 
-// settle has the runs of a sealed segment stand; count says whether what is spilled is to be counted by destination, too.
-func (b *backlog) settle(seg *segment, entries []entry, count bool) {
+// addRuns adds the runs of a sealed segment. With addCounts it also counts the spilled messages by destination.
+func (b *backlog) addRuns(seg *segment, entries []entry, addCounts bool) {
 	r := seg.sealed
-	r.due, r.cursor = never, 0
+	r.minExpiry, r.expiryCursor = noExpiry, 0
 	for i := 0; i < len(entries); {
-		dst, of := entries[i].dst, run{seg: seg, taken: entries[i].taken, next: uint32(i)}
+		dst, destRun := entries[i].dst, run{seg: seg, nextSeq: entries[i].seq, next: uint32(i)}
 		for ; i < len(entries) && entries[i].dst == dst; i++ {
 			if r.spilled.has(entries[i].slot) {
-				of.left++
-				r.due = min(r.due, entries[i].expires)
+				destRun.count++
+				r.minExpiry = min(r.minExpiry, entries[i].expires)
 			}
 		}
-		if of.left == 0 && !b.opening {
+		if destRun.count == 0 && !b.recovering {
 			continue
 		}
-		l := b.line(dst)
-		l.add(of)
-		if count {
-			l.left += int(of.left)
-			b.all += int(of.left)
+		l := b.dest(dst)
+		l.insertRun(destRun)
+		if addCounts {
+			l.count += int(destRun.count)
+			b.total += int(destRun.count)
 		}
 	}
-	if r.left == 0 && !b.opening {
+	if r.spilledCount == 0 && !b.recovering {
 		r.filter = nil
 	}
 }
 
-// flush writes the indexes that wait, oldest first.
-func (s *Spool) flush() {
-	if s.backlog.waiting == 0 {
+// flushIndexes writes the indexes held in memory, oldest first.
+func (s *Spool) flushIndexes() {
+	if s.backlog.unwritten == 0 {
 		return
 	}
-	for _, seg := range s.order {
+	for _, seg := range s.segments {
 		if seg.sealed == nil || seg.sealed.image == nil {
 			continue
 		}
@@ -203,60 +203,62 @@
 			return
 		}
 		seg.sealed.image = nil
-		s.backlog.waiting--
+		s.backlog.unwritten--
 	}
 }
 
-// writeIndex has an index stand under its name whole or not at all.
+// writeIndex writes an index atomically, by a temporary file and a rename.
 func (s *Spool) writeIndex(seg *segment) error {
 	name, b := s.indexPath(seg), s.backlog
-	b.step()
-	if err := b.write(name+unfinished, seg.sealed.image); err != nil {
-		_ = os.Remove(name + unfinished)
+	b.crashPoint()
+	if err := b.writeFile(name+tmpSuffix, seg.sealed.image); err != nil {
+		_ = os.Remove(name + tmpSuffix)
 		return fmt.Errorf("spool: %w", err)
 	}
-	b.step()
-	if err := b.rename(name+unfinished, name); err != nil {
-		_ = os.Remove(name + unfinished)
+	b.crashPoint()
+	if err := b.rename(name+tmpSuffix, name); err != nil {
+		_ = os.Remove(name + tmpSuffix)
 		return fmt.Errorf("spool: %w", err)
 	}
-	b.step()
+	b.crashPoint()
 	return nil
 }
 
-// crowded tells whether too many indexes wait to be written. Danger: without a bound a disk that takes records but no index has memory
-// grow with all that is owed.
-func (s *Spool) crowded() bool {
-	if s.backlog == nil || s.backlog.waiting < mostImages {
+// tooManyUnwritten reports whether too many indexes are held in memory. Without this bound, memory would grow with the number of pending
+// messages on a disk that takes records but no index.
+func (s *Spool) tooManyUnwritten() bool {
+	if s.backlog == nil || s.backlog.unwritten < maxUnwrittenIndexes {
 		return false
 	}
-	s.flush()
-	return s.backlog.waiting >= mostImages
+	s.flushIndexes()
+	return s.backlog.unwritten >= maxUnwrittenIndexes
 }
 
-// weigh takes the bytes of a sealed segment and its index into the sums, or out of them.
-func (b *backlog) weigh(seg *segment, by int64) {
-	b.closed += by * seg.blocks()
-	b.indexes += by * blocks(seg.sealed.shape.size())
+// addUsage adds the sizes of a sealed segment and its index to the totals, or subtracts them.
+func (b *backlog) addUsage(seg *segment, sign int64) {
+	b.sealedBytes += sign * seg.diskSize()
+	b.indexBytes += sign * roundToBlocks(seg.sealed.layout.size())
 }
 
-// usedBoth is the part of the room that is in use with the backlog on: segments and indexes, the newest one's to come too.
-func (s *Spool) usedBoth() int64 {
-	sum := s.usedBySegments() + s.backlog.indexes
+// usedWithIndexes is the space in use with the backlog enabled: segments and indexes, including the future index of the newest segment.
+func (s *Spool) usedWithIndexes() int64 {
+	sum := s.usedBySegments() + s.backlog.indexBytes
 	if n := s.backlog.newest; n != nil {
-		sum += blocks(n.indexSize(len(s.owed)))
+		sum += roundToBlocks(n.estimateIndexSize(len(s.pending)))
 	}
 	return sum
 }
 
 func (s *Spool) usedBySegments() int64 {
-	sum := s.foreign + s.backlog.closed
+	sum := s.foreignBytes + s.backlog.sealedBytes
 	if n := s.backlog.newest; n != nil {
-		sum += n.seg.blocks()
+		sum += n.seg.diskSize()
 	}
 	return sum
 }
 
-// fitsBare tells whether so many bytes more stay within the room, indexes not counted. Danger: with them counted, a folder that was full the
-// old way could get rid of nothing any more.
-func (s *Spool) fitsBare(n int64) bool { return s.usedBySegments()+n+2*block <= s.room }
+// fitsWithoutIndexes reports whether n more bytes stay within the capacity, not counting indexes. If they counted, a folder filled by
+// Open could not record completions any more.
+func (s *Spool) fitsWithoutIndexes(n int64) bool {
+	return s.usedBySegments()+n+2*blockSize <= s.capacity
+}
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,5 +1,5 @@
-// Package spool keeps the messages owed in the folder that outlasts the process: append-only segments, the
-// oldest of which goes when nothing in it is owed, what is still owed of it copied forward.
+// Package spool stores pending messages durably: append-only segments in a folder that outlives the process. The oldest segment is
+// removed once nothing in it is pending; messages still pending in it are copied forward first.
 package spool
 
 import (
@@ -14,129 +14,129 @@
 )
 
 const (
-	block     = 512        // bytes; files count in whole ones
-	segments  = 8          // of the room; smaller ones would be copied forward more often
-	reserve   = 4          // one in so many bytes is kept for copies and for messages already taken on
-	deadShare = 4          // the oldest is copied forward early when at most one in so many bytes is still owed
-	mostLegs  = 256        // remembered of a message
-	magic     = "rvlsp1\n" // opens each segment
-	extension = ".seg"
+	blockSize        = 512        // bytes; disk usage is counted in whole blocks
+	segmentDivisor   = 8          // the capacity is divided into this many segments; smaller ones would be copied forward more often
+	reserveDivisor   = 4          // one in this many bytes of the capacity is reserved for copies and for messages already accepted
+	copyLiveDivisor  = 4          // the oldest segment is copied forward early once at most one in this many of its bytes is still pending
+	maxLegs          = 256        // recorded per message
+	segmentMagic     = "rvlsp1\n" // header of each segment
+	segmentExtension = ".seg"
 )
 
-// ErrFull says that the folder has no room for a further message.
+// ErrFull is returned when the folder has no space for another message.
 var ErrFull = errors.New("spool is full")
 
-// ErrOver says that a message is not owed, or not any more.
-var ErrOver = errors.New("spool: the message is not owed")
+// ErrNotPending is returned for a message that is not pending, or not any more.
+var ErrNotPending = errors.New("spool: message is not pending")
 
-// Leg is one leg of a message.
+// Leg is one attempt to deliver a message to a receiver.
 type Leg struct {
 	SentAt   int64 // µs since 1970
 	Zone     int
 	NeverRan bool
 }
 
-// Message is one owed.
+// Message is a pending message.
 type Message struct {
-	ID, Lane, Key, OrderKey string
-	Dst                     int64
-	Expires                 int64 // µs since 1970
-	Body                    []byte
-	Channel                 string // that orders it; empty for none
-	Pos                     int64  // in the channel
-	Legs                    []Leg
-	Ended                   bool // undelivered, and only the notice is owed
-	PushedBack              bool
-	Advice                  int64 // µs
-	Taken                   int64 // by the sender's own count, which grows also over restarts; 0 until taken, or of an older version
-	Bare                    bool  // ended, and its body and keys were erased on a purge's order
+	ID, Class, Key, OrderKey string
+	Dst                      int64
+	Expires                  int64 // µs since 1970
+	Body                     []byte
+	Channel                  string // channel that orders the message; empty for none
+	Pos                      int64  // position in the channel
+	Legs                     []Leg
+	Ended                    bool // ended undelivered; only the notice is pending
+	Rejected                 bool
+	RetryAfter               int64 // µs
+	AcceptSeq                int64 // acceptance counter, grows across restarts; 0 before acceptance and in records of older versions
+	Erased                   bool  // ended, and its body and keys were erased by a purge
 
-	drawn   bool     // loaded from the backlog
-	slot    uint32   // with the backlog on: so many taken records stand in front of its newest one in that segment
-	segment *segment // that holds its newest record of all it needs
-	length  int64    // of that record
-	offset  int64    // with the backlog on, bytes: where it stands
+	loaded  bool     // loaded from the backlog
+	slot    uint32   // backlog only: the number of accepted records before its newest one in that segment
+	segment *segment // segment with its newest complete record
+	length  int64    // of that record, in bytes
+	offset  int64    // backlog only: position of that record, in bytes
 }
 
-// segment is one file.
+// segment is one file of the spool.
 type segment struct {
-	number int64
-	size   int64
-	owed   int     // messages that stand in it
-	live   int64   // bytes of their records
-	sealed *sealed // with the backlog on, nil for the newest
+	number    int64
+	size      int64
+	pending   int     // messages whose newest record is in this segment
+	liveBytes int64   // bytes of their records
+	sealed    *sealed // backlog only; nil for the newest segment
 }
 
-func (s *segment) blocks() int64 { return blocks(s.size) }
+func (s *segment) diskSize() int64 { return roundToBlocks(s.size) }
 
-func blocks(size int64) int64 { return (size + block - 1) / block * block }
+func roundToBlocks(size int64) int64 { return (size + blockSize - 1) / blockSize * blockSize }
 
 // Spool is the journal of one sender.
 type Spool struct {
-	mu      sync.Mutex
-	dir     string
-	room    int64               // bytes for all segments
-	owed    map[string]*Message // emptied as messages are over
-	live    int64               // bytes of their records
-	order   []*segment          // oldest first, the last is written to; bounded by room
-	last    int64               // highest number in use
-	count   int64               // of messages taken on in this process
-	fenced  func(*Message) bool // older than a fence; nil: none is
-	foreign int64               // bytes of files that are not ours to read
-	strange []string            // their names
-	file    *os.File
-	earlier bool     // a process wrote here before this one
-	backlog *backlog // nil: off
-	torn    bool     // the newest segment ends in part of a record: what follows there would not be believed
+	mu           sync.Mutex
+	dir          string
+	capacity     int64               // bytes for all segments
+	pending      map[string]*Message // by ID; entries go as messages complete
+	liveBytes    int64               // bytes of their records
+	segments     []*segment          // oldest first, writes go to the last one; bounded by the capacity
+	lastNumber   int64               // highest segment number in use
+	acceptCount  int64               // messages accepted by this process
+	fence        func(*Message) bool // reports whether a message is older than a purge; nil if there is no fence
+	foreignBytes int64               // bytes of files in an unknown format
+	unreadable   []string            // names of files that could not be read
+	file         *os.File
+	priorRun     bool     // an earlier process wrote to this folder
+	backlog      *backlog // nil if the backlog is disabled
+	tornTail     bool     // the newest segment ends in a partial record; recovery would ignore anything appended after it
 }
 
-// Open reads back what is owed and starts a new segment. It says in notes what it could not read.
-func Open(dir string, room int64) (s *Spool, notes []string, err error) {
-	s = &Spool{dir: dir, room: room, owed: map[string]*Message{}}
-	names, err := filepath.Glob(filepath.Join(dir, "*"+extension))
+// Open restores the pending messages and starts a new segment. The notes describe what could not be read.
+func Open(dir string, capacity int64) (s *Spool, notes []string, err error) {
+	s = &Spool{dir: dir, capacity: capacity, pending: map[string]*Message{}}
+	names, err := filepath.Glob(filepath.Join(dir, "*"+segmentExtension))
 	if err != nil {
 		return nil, nil, fmt.Errorf("spool: %w", err)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if note := s.recover(name); note != "" {
+		if note := s.recoverSegment(name); note != "" {
 			notes = append(notes, note)
 		}
 	}
-	s.earlier = s.last > 0
+	s.priorRun = s.lastNumber > 0
 	if err := s.startSegment(); err != nil {
 		return nil, notes, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shrink()
+	s.reclaim()
 	return s, notes, nil
 }
 
-// recover reads one segment up to the first torn record. What it cannot read it leaves as it is.
-func (s *Spool) recover(name string) (note string) {
+// recoverSegment reads one segment up to the first torn record. Files that it cannot read are left unchanged.
+func (s *Spool) recoverSegment(name string) (note string) {
 	seg := &segment{}
-	_, misnamed := fmt.Sscanf(filepath.Base(name), "%d"+extension, &seg.number)
-	s.last = max(s.last, seg.number) // of an unreadable one too, or the next segment would bear its number
+	_, misnamed := fmt.Sscanf(filepath.Base(name), "%d"+segmentExtension, &seg.number)
+	s.lastNumber = max(s.lastNumber, seg.number) // unreadable ones too, or the next segment would get the same number
 	data, err := os.ReadFile(name)
 	if err != nil {
-		s.strange = append(s.strange, filepath.Base(name))
-		return "left alone, not readable: " + err.Error()
+		s.unreadable = append(s.unreadable, filepath.Base(name))
+		return "left unchanged, unreadable: " + err.Error()
 	}
 	seg.size = int64(len(data))
-	left, known := strings.CutPrefix(string(data), magic)
-	if misnamed != nil || !known && seg.size >= int64(len(magic)) {
-		s.foreign += seg.blocks()
-		s.strange = append(s.strange, filepath.Base(name))
-		return "left alone, of an unknown version: " + filepath.Base(name)
+	content, known := strings.CutPrefix(string(data), segmentMagic)
+	if misnamed != nil || !known && seg.size >= int64(len(segmentMagic)) {
+		s.foreignBytes += seg.diskSize()
+		s.unreadable = append(s.unreadable, filepath.Base(name))
+		return "left unchanged, unknown version: " + filepath.Base(name)
 	}
-	s.order = append(s.order, seg)
-	if !known { // cut off while it was begun
+	s.segments = append(s.segments, seg)
+	if !known { // truncated while it was being created
 		return ""
 	}
-	record, rest := next([]byte(left))
-	for ; record != nil; record, rest = next(rest) {
-		s.replay(record, seg)
+	record, rest := nextRecord([]byte(content))
+	for ; record != nil; record, rest = nextRecord(rest) {
+		s.applyRecord(record, seg)
 	}
 	if len(rest) > 0 {
 		return fmt.Sprintf("%d bytes after the last whole record of %s", len(rest), filepath.Base(name))
@@ -144,38 +144,38 @@
 	return ""
 }
 
-// replay takes in one record.
-func (s *Spool) replay(record []byte, seg *segment) {
-	d := &decoder{left: record[1:]}
-	id := string(d.text())
-	if record[0] == recTaken {
-		if m := readMessage(id, d); !d.bad {
+// applyRecord replays one record.
+func (s *Spool) applyRecord(record []byte, seg *segment) {
+	d := &decoder{rest: record[1:]}
+	id := string(d.bytes())
+	if record[0] == recAccepted {
+		if m := decodeMessage(id, d); !d.failed {
 			s.place(m, seg, int64(len(record)))
 		}
 		return
 	}
-	m := s.owed[id]
-	if m == nil || d.bad {
+	m := s.pending[id]
+	if m == nil || d.failed {
 		return
 	}
 	switch record[0] {
 	case recLeg:
-		if l := readLeg(d); !d.bad {
+		if l := decodeLeg(d); !d.failed {
 			m.addLeg(l)
 		}
-	case recUnrun:
-		m.unrun()
-	case recEnded:
-		m.Ended, m.PushedBack, m.Advice = true, d.number() != 0, d.number()
-	case recOver:
-		s.drop(m)
+	case recNeverRan:
+		m.markNeverRan()
+	case recUndelivered:
+		m.Ended, m.Rejected, m.RetryAfter = true, d.varint() != 0, d.varint()
+	case recCompleted:
+		s.dropPending(m)
 	}
 }
 
-// addLeg remembers a leg. Of too many the oldest that never ran goes, else the second: the first that may have run opens its key's window,
-// and the latest is the one whose outcome may follow.
+// addLeg records a leg. Beyond maxLegs it discards the oldest leg that never ran, or else the second one: the first leg that may have run
+// starts the window of the message's key, and the outcome of the latest may still follow.
 func (m *Message) addLeg(l Leg) {
-	if len(m.Legs) >= mostLegs {
+	if len(m.Legs) >= maxLegs {
 		i := slices.IndexFunc(m.Legs, func(o Leg) bool { return o.NeverRan })
 		if i < 0 {
 			i = 1
@@ -185,64 +185,64 @@
 	m.Legs = append(m.Legs, l)
 }
 
-// unrun has the latest leg have never run.
-func (m *Message) unrun() {
+// markNeverRan marks the latest leg as never run.
+func (m *Message) markNeverRan() {
 	if n := len(m.Legs); n > 0 {
 		m.Legs[n-1].NeverRan = true
 	}
 }
 
-// place has a message stand in a segment, and no longer in the one it stood in.
+// place assigns a message to a segment, and removes it from its previous one.
 func (s *Spool) place(m *Message, seg *segment, length int64) {
-	if old := s.owed[m.ID]; old != nil {
-		s.lift(old)
+	if old := s.pending[m.ID]; old != nil {
+		s.unplace(old)
 	}
-	s.owed[m.ID] = m
+	s.pending[m.ID] = m
 	if s.backlog != nil {
-		s.stand(m, seg, seg.size-length, length)
+		s.placeInNewest(m, seg, seg.size-length, length)
 		return
 	}
 	m.segment, m.length = seg, length
-	seg.owed++
-	seg.live += length
-	s.live += length
+	seg.pending++
+	seg.liveBytes += length
+	s.liveBytes += length
 }
 
-func (s *Spool) lift(m *Message) {
+func (s *Spool) unplace(m *Message) {
 	if s.backlog != nil {
 		e := m.entry()
-		s.backlog.die(m.segment, &e)
+		s.backlog.markDead(m.segment, &e)
 	}
-	m.segment.owed--
-	m.segment.live -= m.length
-	s.live -= m.length
+	m.segment.pending--
+	m.segment.liveBytes -= m.length
+	s.liveBytes -= m.length
 }
 
-func (s *Spool) drop(m *Message) {
-	s.lift(m)
-	delete(s.owed, m.ID)
+func (s *Spool) dropPending(m *Message) {
+	s.unplace(m)
+	delete(s.pending, m.ID)
 }
 
-func readMessage(id string, d *decoder) *Message {
-	m := &Message{ID: id, Lane: string(d.text()), Key: string(d.text()), OrderKey: string(d.text()), Dst: d.number(),
-		Expires: d.number()}
-	m.Ended, m.PushedBack, m.Advice = d.number() != 0, d.number() != 0, d.number()
-	for n := d.number(); n > 0 && !d.bad; n-- { // all of them, or the rest would be taken for the body
-		m.addLeg(readLeg(d))
+func decodeMessage(id string, d *decoder) *Message {
+	m := &Message{ID: id, Class: string(d.bytes()), Key: string(d.bytes()), OrderKey: string(d.bytes()), Dst: d.varint(),
+		Expires: d.varint()}
+	m.Ended, m.Rejected, m.RetryAfter = d.varint() != 0, d.varint() != 0, d.varint()
+	for n := d.varint(); n > 0 && !d.failed; n-- { // decodes all of them, or the remaining bytes would be taken for the body
+		m.addLeg(decodeLeg(d))
 	}
-	m.Body = slices.Clone(d.text())
-	if len(d.left) > 0 { // older versions wrote no more
-		m.Channel, m.Pos = string(d.text()), d.number()
-		m.Taken, m.Bare = d.number(), d.number() != 0
+	m.Body = slices.Clone(d.bytes())
+	if len(d.rest) > 0 { // records of older versions end here
+		m.Channel, m.Pos = string(d.bytes()), d.varint()
+		m.AcceptSeq, m.Erased = d.varint(), d.varint() != 0
 	}
 	return m
 }
 
-func readLeg(d *decoder) Leg {
-	return Leg{SentAt: d.number(), Zone: int(d.number()), NeverRan: d.number() != 0}
+func decodeLeg(d *decoder) Leg {
+	return Leg{SentAt: d.varint(), Zone: int(d.varint()), NeverRan: d.varint() != 0}
 }
 
-func flag(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
@@ -250,36 +250,36 @@
 }
 
 func (e encoder) leg(l Leg) encoder {
-	return e.number(l.SentAt).number(int64(l.Zone)).number(flag(l.NeverRan))
+	return e.varint(l.SentAt).varint(int64(l.Zone)).varint(boolToInt(l.NeverRan))
 }
 
-func (m *Message) record() []byte {
+func (m *Message) encode() []byte {
 	key, orderKey, channel, body := m.Key, m.OrderKey, m.Channel, m.Body
-	if m.Bare {
+	if m.Erased {
 		key, orderKey, channel, body = "", "", "", nil
 	}
-	e := begin(recTaken, m.ID).text([]byte(m.Lane)).text([]byte(key)).text([]byte(orderKey)).number(m.Dst)
-	e = e.number(m.Expires).number(flag(m.Ended)).number(flag(m.PushedBack)).number(m.Advice)
-	e = e.number(int64(len(m.Legs)))
+	e := newRecord(recAccepted, m.ID).bytes([]byte(m.Class)).bytes([]byte(key)).bytes([]byte(orderKey)).varint(m.Dst)
+	e = e.varint(m.Expires).varint(boolToInt(m.Ended)).varint(boolToInt(m.Rejected)).varint(m.RetryAfter)
+	e = e.varint(int64(len(m.Legs)))
 	for _, l := range m.Legs {
 		e = e.leg(l)
 	}
-	return e.text(body).text([]byte(channel)).number(m.Pos).number(m.Taken).number(flag(m.Bare)).seal()
+	return e.bytes(body).bytes([]byte(channel)).varint(m.Pos).varint(m.AcceptSeq).varint(boolToInt(m.Erased)).finish()
 }
 
-// Earlier tells whether a process wrote here before this one.
-func (s *Spool) Earlier() bool { return s.earlier }
+// HasPriorRun reports whether an earlier process wrote to this folder.
+func (s *Spool) HasPriorRun() bool { return s.priorRun }
 
-// Owed lists what is owed in the order in which it was taken on. Danger: given back in another one, the messages of a key change places.
-func (s *Spool) Owed() []*Message {
+// Pending lists the pending messages in order of acceptance. Handing them back in any other order would reorder the messages of a key.
+func (s *Spool) Pending() []*Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ms := make([]*Message, 0, len(s.owed))
-	for _, m := range s.owed {
+	ms := make([]*Message, 0, len(s.pending))
+	for _, m := range s.pending {
 		ms = append(ms, m)
 	}
 	slices.SortFunc(ms, func(a, b *Message) int {
-		return cmp.Or(cmp.Compare(a.Taken, b.Taken), cmp.Compare(a.Expires, b.Expires), strings.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.AcceptSeq, b.AcceptSeq), cmp.Compare(a.Expires, b.Expires), strings.Compare(a.ID, b.ID))
 	})
 	return ms
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -12,22 +12,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-const plenty = 1 << 20
+const testCapacity = 1 << 20
 
-func open(t *testing.T, dir string, room int64) *Spool {
+func openSpool(t *testing.T, dir string, capacity int64) *Spool {
 	t.Helper()
-	s, _, err := Open(dir, room)
+	s, _, err := Open(dir, capacity)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
-func message(id string, size int) *Message {
-	return &Message{ID: id, Lane: "notice", Key: "k" + id, Dst: 7, Expires: 1e15, Body: bytes.Repeat([]byte{'\n'}, size)}
+func newMessage(id string, size int) *Message {
+	return &Message{ID: id, Class: "notice", Key: "k" + id, Dst: 7, Expires: 1e15, Body: bytes.Repeat([]byte{'\n'}, size)}
 }
 
-// bare is a message without what only this process knows.
-func bare(ms []*Message) (all []Message) {
+// withoutPosition copies messages without their in-memory position.
+func withoutPosition(ms []*Message) (all []Message) {
 	for _, m := range ms {
 		b := *m
 		b.segment, b.length = nil, 0
@@ -36,174 +36,174 @@
 	return all
 }
 
-func TestRestartOwesJustWhatWasOwed(t *testing.T) {
+func TestRestartRestoresPendingMessages(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir, plenty)
-	over, out, unrun, ended := message("a", 3), message("b", 0), message("c", 9), message("d", 1)
-	for _, m := range []*Message{over, out, unrun, ended} {
-		require.NoError(t, s.Take(m))
-		require.NoError(t, s.Leg(m, Leg{SentAt: 5, Zone: -1}))
+	s := openSpool(t, dir, testCapacity)
+	completed, started, neverRan, ended := newMessage("a", 3), newMessage("b", 0), newMessage("c", 9), newMessage("d", 1)
+	for _, m := range []*Message{completed, started, neverRan, ended} {
+		require.NoError(t, s.Accept(m))
+		require.NoError(t, s.AddLeg(m, Leg{SentAt: 5, Zone: -1}))
 	}
-	require.NoError(t, s.Over(over))
-	require.NoError(t, s.NeverRan(unrun))
-	require.NoError(t, s.End(ended, true, 250_000))
+	require.NoError(t, s.Complete(completed))
+	require.NoError(t, s.MarkNeverRan(neverRan))
+	require.NoError(t, s.MarkUndelivered(ended, true, 250_000))
 
-	got := bare(open(t, dir, plenty).Owed())
-	assert.Equal(t, bare([]*Message{out, unrun, ended}), got)
+	got := withoutPosition(openSpool(t, dir, testCapacity).Pending())
+	assert.Equal(t, withoutPosition([]*Message{started, neverRan, ended}), got)
 	assert.False(t, got[0].Legs[0].NeverRan)
 	assert.True(t, got[1].Legs[0].NeverRan)
-	assert.True(t, got[2].Ended && got[2].PushedBack)
+	assert.True(t, got[2].Ended && got[2].Rejected)
 }
 
-func TestRestartKeepsTheOrderInWhichMessagesWereTakenOn(t *testing.T) {
+func TestRestartKeepsAcceptanceOrder(t *testing.T) {
 	dir := t.TempDir()
-	for life, ids := range [][]string{{"d", "b"}, {"c", "a"}} { // each with less time than the one before
-		s := open(t, dir, plenty)
+	for run, ids := range [][]string{{"d", "b"}, {"c", "a"}} { // each expires earlier than the one before
+		s := openSpool(t, dir, testCapacity)
 		for i, id := range ids {
-			m := message(id, 1)
-			m.Expires -= int64(10*life + i)
-			require.NoError(t, s.Take(m))
+			m := newMessage(id, 1)
+			m.Expires -= int64(10*run + i)
+			require.NoError(t, s.Accept(m))
 		}
 	}
 	var got []string
-	for _, m := range open(t, dir, plenty).Owed() {
+	for _, m := range openSpool(t, dir, testCapacity).Pending() {
 		got = append(got, m.ID)
 	}
 	assert.Equal(t, []string{"d", "b", "c", "a"}, got)
 }
 
-func TestCutAtEveryByteLosesNothingWhole(t *testing.T) {
+func TestTruncationAtEveryByteKeepsWholeRecords(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir, plenty)
-	var ends []int64 // of the file after each message
+	s := openSpool(t, dir, testCapacity)
+	var ends []int64 // size of the file after each message
 	for i := range 4 {
-		m := message(fmt.Sprint(i), i*10)
-		require.NoError(t, s.Take(m))
-		ends = append(ends, s.now().size)
+		m := newMessage(fmt.Sprint(i), i*10)
+		require.NoError(t, s.Accept(m))
+		ends = append(ends, s.newestSegment().size)
 	}
-	data, err := os.ReadFile(s.path(s.now()))
+	data, err := os.ReadFile(s.segmentPath(s.newestSegment()))
 	require.NoError(t, err)
 	for cut := range len(data) + 1 {
 		torn := t.TempDir()
-		require.NoError(t, os.WriteFile(filepath.Join(torn, filepath.Base(s.path(s.now()))), data[:cut], 0o600))
+		require.NoError(t, os.WriteFile(filepath.Join(torn, filepath.Base(s.segmentPath(s.newestSegment()))), data[:cut], 0o600))
 		whole := 0
 		for _, end := range ends {
 			if int64(cut) >= end {
 				whole++
 			}
 		}
-		again := open(t, torn, plenty)
-		require.Len(t, again.Owed(), whole, "cut at %d", cut)
-		require.NoError(t, again.Take(message("new", 1)), "cut at %d", cut)
-		require.Len(t, open(t, torn, plenty).Owed(), whole+1, "cut at %d", cut)
+		again := openSpool(t, torn, testCapacity)
+		require.Len(t, again.Pending(), whole, "cut at %d", cut)
+		require.NoError(t, again.Accept(newMessage("new", 1)), "cut at %d", cut)
+		require.Len(t, openSpool(t, torn, testCapacity).Pending(), whole+1, "cut at %d", cut)
 	}
 }
 
-func TestDamagedRecordIsToldAndNotBelieved(t *testing.T) {
+func TestDamagedRecordIsReportedAndSkipped(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir, plenty)
-	require.NoError(t, s.Take(message("a", 30)))
-	name := s.path(s.now())
+	s := openSpool(t, dir, testCapacity)
+	require.NoError(t, s.Accept(newMessage("a", 30)))
+	name := s.segmentPath(s.newestSegment())
 	data, err := os.ReadFile(name)
 	require.NoError(t, err)
 	data[len(data)-5] ^= 1
 	require.NoError(t, os.WriteFile(name, data, 0o600))
-	again, notes, err := Open(dir, plenty)
+	again, notes, err := Open(dir, testCapacity)
 	require.NoError(t, err)
-	assert.Empty(t, again.Owed())
+	assert.Empty(t, again.Pending())
 	assert.Len(t, notes, 1)
 }
 
-func TestUnknownVersionIsLeftAloneAndTold(t *testing.T) {
+func TestUnknownVersionIsReportedAndKept(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "000000000007.seg")
 	require.NoError(t, os.WriteFile(name, []byte("rvlsp9\nsomething"), 0o600))
-	s, notes, err := Open(dir, plenty)
+	s, notes, err := Open(dir, testCapacity)
 	require.NoError(t, err)
 	assert.Len(t, notes, 1)
-	require.NoError(t, s.Take(message("a", 1)))
+	require.NoError(t, s.Accept(newMessage("a", 1)))
 	assert.FileExists(t, name)
 }
 
-// folder is the size of a folder as the limit counts it.
-func folder(t *testing.T, dir string) (sum int64) {
+// folderSize returns the size of a folder as the capacity limit counts it.
+func folderSize(t *testing.T, dir string) (sum int64) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, f := range files {
 		info, err := f.Info()
 		require.NoError(t, err)
-		sum += (info.Size() + block - 1) / block * block
+		sum += (info.Size() + blockSize - 1) / blockSize * blockSize
 	}
 	return sum
 }
 
-func TestFolderStaysInItsRoomAndForgetsNothingOwed(t *testing.T) {
-	const room = 64 << 10
+func TestFolderStaysWithinCapacityAndKeepsPendingMessages(t *testing.T) {
+	const capacity = 64 << 10
 	dir := t.TempDir()
-	s := open(t, dir, room)
-	owed := map[string]*Message{}
+	s := openSpool(t, dir, capacity)
+	pending := map[string]*Message{}
 	refused := 0
-	for i := range 3000 { // a few stay owed for long while many come and go
-		m := message(fmt.Sprint(i), rand.IntN(2000))
-		if err := s.Take(m); err != nil {
+	for i := range 3000 { // a few messages stay pending for long while many come and go
+		m := newMessage(fmt.Sprint(i), rand.IntN(2000))
+		if err := s.Accept(m); err != nil {
 			require.ErrorIs(t, err, ErrFull)
 			refused++
 		} else {
-			owed[m.ID] = m
-			require.NoError(t, s.Leg(m, Leg{SentAt: int64(i)}))
+			pending[m.ID] = m
+			require.NoError(t, s.AddLeg(m, Leg{SentAt: int64(i)}))
 		}
-		for id, o := range owed {
-			if len(owed) > 5 && rand.IntN(40) > 0 || len(owed) > 35 {
-				require.NoError(t, s.Over(o))
-				delete(owed, id)
+		for id, o := range pending {
+			if len(pending) > 5 && rand.IntN(40) > 0 || len(pending) > 35 {
+				require.NoError(t, s.Complete(o))
+				delete(pending, id)
 			}
 		}
-		require.LessOrEqual(t, folder(t, dir), int64(room))
+		require.LessOrEqual(t, folderSize(t, dir), int64(capacity))
 	}
-	assert.Less(t, refused, 300, "room is won back")
-	assert.Len(t, open(t, dir, room).Owed(), len(owed))
+	assert.Less(t, refused, 300, "space is reclaimed")
+	assert.Len(t, openSpool(t, dir, capacity).Pending(), len(pending))
 }
 
-func TestFullSpoolRefusesAndStillRecordsEnds(t *testing.T) {
-	const room = 32 << 10
+func TestFullSpoolRefusesMessagesButRecordsCompletion(t *testing.T) {
+	const capacity = 32 << 10
 	dir := t.TempDir()
-	s := open(t, dir, room)
+	s := openSpool(t, dir, capacity)
 	var ms []*Message
 	for i := 0; ; i++ {
-		m := message(fmt.Sprint(i), 500)
-		if err := s.Take(m); err != nil {
+		m := newMessage(fmt.Sprint(i), 500)
+		if err := s.Accept(m); err != nil {
 			require.ErrorIs(t, err, ErrFull)
 			break
 		}
 		ms = append(ms, m)
 	}
 	for _, m := range ms {
-		require.NoError(t, s.Leg(m, Leg{}))
-		require.NoError(t, s.End(m, false, 0))
-		require.NoError(t, s.Over(m))
+		require.NoError(t, s.AddLeg(m, Leg{}))
+		require.NoError(t, s.MarkUndelivered(m, false, 0))
+		require.NoError(t, s.Complete(m))
 	}
-	assert.LessOrEqual(t, folder(t, dir), int64(room))
-	require.NoError(t, s.Take(message("after", 500)))
+	assert.LessOrEqual(t, folderSize(t, dir), int64(capacity))
+	require.NoError(t, s.Accept(newMessage("after", 500)))
 }
 
-func TestFailedWriteIsNoRecord(t *testing.T) {
-	s := open(t, t.TempDir(), plenty)
+func TestFailedWriteLeavesNoRecord(t *testing.T) {
+	s := openSpool(t, t.TempDir(), testCapacity)
 	require.NoError(t, s.file.Close())
-	require.Error(t, s.Take(message("a", 1)))
-	assert.Empty(t, s.Owed())
+	require.Error(t, s.Accept(newMessage("a", 1)))
+	assert.Empty(t, s.Pending())
 }
 
-// killed is what the next process owes if this one is killed now.
-func killed(t *testing.T, dir string) []Message {
+// pendingAfterKill returns what the next process restores if this one is killed now.
+func pendingAfterKill(t *testing.T, dir string) []Message {
 	t.Helper()
 	next := t.TempDir()
 	require.NoError(t, os.CopyFS(next, os.DirFS(dir)))
-	return bare(open(t, next, plenty).Owed())
+	return withoutPosition(openSpool(t, next, testCapacity).Pending())
 }
 
-// full has the next write fail as on a full disk, so that not even what was begun can be cut off again.
-func full(t *testing.T, s *Spool) {
+// failNextWrite makes the next write fail as on a full disk, where not even a partial record can be truncated.
+func failNextWrite(t *testing.T, s *Spool) {
 	t.Helper()
 	require.NoError(t, s.file.Close())
 	var err error
@@ -211,116 +211,117 @@
 	require.NoError(t, err)
 }
 
-// Each kind of record once more, after a write of it failed: it counts from the second time on, and not before.
-func TestAfterAFailedWriteRecordsCountAgain(t *testing.T) {
+// After a failed write of any kind of record nothing changes, and the second attempt succeeds.
+func TestRecordsSucceedAfterFailedWrite(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir, plenty)
-	m := message("a", 10)
+	s := openSpool(t, dir, testCapacity)
+	m := newMessage("a", 10)
 	for _, write := range []func() error{
-		func() error { return s.Take(m) },
-		func() error { return s.Leg(m, Leg{SentAt: 5}) },
-		func() error { return s.NeverRan(m) },
-		func() error { return s.End(m, true, 7) },
-		func() error { return s.Over(m) },
+		func() error { return s.Accept(m) },
+		func() error { return s.AddLeg(m, Leg{SentAt: 5}) },
+		func() error { return s.MarkNeverRan(m) },
+		func() error { return s.MarkUndelivered(m, true, 7) },
+		func() error { return s.Complete(m) },
 	} {
-		before := bare(s.Owed())
-		full(t, s)
+		before := withoutPosition(s.Pending())
+		failNextWrite(t, s)
 		require.Error(t, write())
-		require.Equal(t, before, bare(s.Owed()))
-		require.Equal(t, before, killed(t, dir))
+		require.Equal(t, before, withoutPosition(s.Pending()))
+		require.Equal(t, before, pendingAfterKill(t, dir))
 		require.NoError(t, write())
-		require.Equal(t, bare(s.Owed()), killed(t, dir))
+		require.Equal(t, withoutPosition(s.Pending()), pendingAfterKill(t, dir))
 	}
-	require.Empty(t, s.Owed())
+	require.Empty(t, s.Pending())
 }
 
-// Settings may bound the legs of a message at nothing.
-func TestManyLegsLeaveTheMessageAsItIs(t *testing.T) {
+// Settings may leave the number of legs unbounded; the recorded legs are bounded.
+func TestRecordedLegsAreBounded(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir, plenty)
-	m := message("a", 300)
-	require.NoError(t, s.Take(m))
-	for i := range int64(3 * mostLegs) {
-		require.NoError(t, s.Leg(m, Leg{SentAt: i + 1, NeverRan: i != 7 && i%2 == 1}))
+	s := openSpool(t, dir, testCapacity)
+	m := newMessage("a", 300)
+	require.NoError(t, s.Accept(m))
+	for i := range int64(3 * maxLegs) {
+		require.NoError(t, s.AddLeg(m, Leg{SentAt: i + 1, NeverRan: i != 7 && i%2 == 1}))
 	}
-	require.NoError(t, s.Leg(m, Leg{SentAt: 1e6}))
-	require.NoError(t, s.NeverRan(m))
-	for range 2 { // off the single records, then off a copy that holds all
-		again := open(t, dir, plenty)
-		require.Len(t, again.Owed(), 1)
-		got := again.Owed()[0]
+	require.NoError(t, s.AddLeg(m, Leg{SentAt: 1e6}))
+	require.NoError(t, s.MarkNeverRan(m))
+	for range 2 { // from the single records, then from a copy that holds all
+		again := openSpool(t, dir, testCapacity)
+		require.Len(t, again.Pending(), 1)
+		got := again.Pending()[0]
 		require.Equal(t, m.Body, got.Body)
 		require.Equal(t, m.Legs, got.Legs)
-		require.Len(t, got.Legs, mostLegs)
+		require.Len(t, got.Legs, maxLegs)
 		require.Equal(t, int64(1), got.Legs[0].SentAt, "the first that may have run")
-		require.Equal(t, Leg{SentAt: 1e6, NeverRan: true}, got.Legs[mostLegs-1])
-		again.forward(again.order[0])
+		require.Equal(t, Leg{SentAt: 1e6, NeverRan: true}, got.Legs[maxLegs-1])
+		again.copyForward(again.segments[0])
 	}
 }
 
-func TestSegmentThatCannotBeReadKeepsNoSenderFromStarting(t *testing.T) {
+func TestUnreadableSegmentDoesNotPreventStart(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "000000000001.seg")
-	require.NoError(t, os.Mkdir(name, 0o700)) // a read of it fails
-	s, notes, err := Open(dir, plenty)
+	require.NoError(t, os.Mkdir(name, 0o700)) // reading it fails
+	s, notes, err := Open(dir, testCapacity)
 	require.NoError(t, err)
 	require.Len(t, notes, 1)
-	require.NoError(t, s.Take(message("a", 1)))
+	require.NoError(t, s.Accept(newMessage("a", 1)))
 	require.NoError(t, s.Close())
 	require.DirExists(t, name)
 }
 
-// A kill between the first copy of what is owed and the removal of the segment that it stood in, at every byte.
-func TestKilledWhileCopyingForwardOwesTheSame(t *testing.T) {
+// Simulates a kill at every byte written between the first copy of a pending message and the removal of its old segment.
+func TestKillDuringCopyForwardKeepsPendingMessages(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir, plenty)
-	for i, m := range []*Message{message("over", 9), message("a", 40), message("out", 20), message("unrun", 0), message("told", 70)} {
-		require.NoError(t, s.Take(m))
-		require.NoError(t, s.Leg(m, Leg{SentAt: int64(i), Zone: 1}))
+	s := openSpool(t, dir, testCapacity)
+	for i, m := range []*Message{newMessage("completed", 9), newMessage("a", 40), newMessage("started", 20), newMessage("neverran", 0),
+		newMessage("undelivered", 70)} {
+		require.NoError(t, s.Accept(m))
+		require.NoError(t, s.AddLeg(m, Leg{SentAt: int64(i), Zone: 1}))
 		switch m.ID {
-		case "over":
-			require.NoError(t, s.Over(m))
-		case "unrun":
-			require.NoError(t, s.NeverRan(m))
-		case "told":
-			require.NoError(t, s.End(m, true, 5))
+		case "completed":
+			require.NoError(t, s.Complete(m))
+		case "neverran":
+			require.NoError(t, s.MarkNeverRan(m))
+		case "undelivered":
+			require.NoError(t, s.MarkUndelivered(m, true, 5))
 		}
 	}
-	want := bare(s.Owed())
+	want := withoutPosition(s.Pending())
 	require.NoError(t, s.startSegment())
-	oldest, newest := s.order[0], s.order[1]
+	oldest, newest := s.segments[0], s.segments[1]
 	from := newest.size
-	require.True(t, s.forward(oldest))
-	data, err := os.ReadFile(s.path(newest))
+	require.True(t, s.copyForward(oldest))
+	data, err := os.ReadFile(s.segmentPath(newest))
 	require.NoError(t, err)
 	for cut := from; cut <= int64(len(data)); cut++ {
 		killed := t.TempDir()
-		old, err := os.ReadFile(s.path(oldest))
+		old, err := os.ReadFile(s.segmentPath(oldest))
 		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(filepath.Join(killed, filepath.Base(s.path(oldest))), old, 0o600))
-		require.NoError(t, os.WriteFile(filepath.Join(killed, filepath.Base(s.path(newest))), data[:cut], 0o600))
-		again := open(t, killed, plenty)
-		require.Equal(t, want, bare(again.Owed()), "cut at %d", cut)
-		for _, m := range again.Owed() {
-			require.NoError(t, again.Over(m))
+		require.NoError(t, os.WriteFile(filepath.Join(killed, filepath.Base(s.segmentPath(oldest))), old, 0o600))
+		require.NoError(t, os.WriteFile(filepath.Join(killed, filepath.Base(s.segmentPath(newest))), data[:cut], 0o600))
+		again := openSpool(t, killed, testCapacity)
+		require.Equal(t, want, withoutPosition(again.Pending()), "cut at %d", cut)
+		for _, m := range again.Pending() {
+			require.NoError(t, again.Complete(m))
 		}
-		require.Empty(t, open(t, killed, plenty).Owed(), "what is over stays over, cut at %d", cut)
+		require.Empty(t, openSpool(t, killed, testCapacity).Pending(), "completed messages stay complete, cut at %d", cut)
 	}
 }
 
-// Descriptors may be short just as a segment is full.
-func TestSegmentThatCannotBeBegunKeepsNoRecordOut(t *testing.T) {
-	const room = 32 << 10
+// File descriptors may be exhausted just when a segment is full.
+func TestRecordsContinueWhenSegmentCannotBeCreated(t *testing.T) {
+	const capacity = 32 << 10
 	dir := t.TempDir()
-	s := open(t, dir, room)
-	next := filepath.Join(dir, fmt.Sprintf("%012d.seg", s.last+1))
-	require.NoError(t, os.Mkdir(next, 0o700)) // it cannot be created
+	s := openSpool(t, dir, capacity)
+	next := filepath.Join(dir, fmt.Sprintf("%012d.seg", s.lastNumber+1))
+	require.NoError(t, os.Mkdir(next, 0o700)) // creating it fails
 	for i := range 12 {
-		require.NoError(t, s.Take(message(fmt.Sprint(i), 1000)))
+		require.NoError(t, s.Accept(newMessage(fmt.Sprint(i), 1000)))
 	}
-	require.Len(t, s.order, 1)
+	require.Len(t, s.segments, 1)
 	require.NoError(t, os.Remove(next))
-	require.NoError(t, s.Take(message("last", 1)))
-	require.Len(t, s.order, 2)
-	require.Len(t, killed(t, dir), 13)
+	require.NoError(t, s.Accept(newMessage("last", 1)))
+	require.Len(t, s.segments, 2)
+	require.Len(t, pendingAfterKill(t, dir), 13)
 }
--- a/internal/spool/state.go
+++ b/internal/spool/state.go
@@ -1,31 +1,33 @@
 package spool
 
-// The bits of a state.
+// Flag bits of an open state.
 const (
-	stateEnded = 1 << iota
-	statePushedBack
-	stateBare
-	stateDrawn
+	flagEnded = 1 << iota
+	flagRejected
+	flagErased
+	flagLoaded
 )
 
-// fresh tells whether nothing is known of a message but that it was taken on: after a restart it rests.
-func (m *Message) fresh() bool { return len(m.Legs) == 0 && !m.Ended && m.Channel == "" && !m.drawn }
+// untouched reports whether a message was accepted and nothing else happened to it: after a restart it is spilled.
+func (m *Message) untouched() bool {
+	return len(m.Legs) == 0 && !m.Ended && m.Channel == "" && !m.loaded
+}
 
-func encodeStates(working map[string]*Message) encoder {
+func encodeStates(active map[string]*Message) encoder {
 	n := int64(0)
-	for _, m := range working {
-		if !m.fresh() {
+	for _, m := range active {
+		if !m.untouched() {
 			n++
 		}
 	}
-	e := encoder(nil).number(n)
-	for _, m := range working {
-		if m.fresh() {
+	e := encoder(nil).varint(n)
+	for _, m := range active {
+		if m.untouched() {
 			continue
 		}
-		flags := flag(m.Ended)*stateEnded | flag(m.PushedBack)*statePushedBack | flag(m.Bare)*stateBare | flag(m.drawn)*stateDrawn
-		e = e.number(m.segment.number).number(int64(m.slot)).number(m.offset).number(m.length).number(flags).number(m.Advice)
-		e = e.number(m.Dst).number(int64(m.entry().key)).number(int64(len(m.Legs)))
+		flags := boolToInt(m.Ended)*flagEnded | boolToInt(m.Rejected)*flagRejected | boolToInt(m.Erased)*flagErased | boolToInt(m.loaded)*flagLoaded
+		e = e.varint(m.segment.number).varint(int64(m.slot)).varint(m.offset).varint(m.length).varint(flags).varint(m.RetryAfter)
+		e = e.varint(m.Dst).varint(int64(m.entry().key)).varint(int64(len(m.Legs)))
 		for _, l := range m.Legs {
 			e = e.leg(l)
 		}
@@ -33,25 +35,25 @@
 	return e
 }
 
-// state is one open state: where the taken record of a message stands, and what came to it since.
+// state is the open state of one active message: the position of its accepted record, and what changed since.
 type state struct {
-	segment       int64
-	entry         // slot, offset, length, dst and key alone
-	flags, advice int64
-	legs          []Leg
+	segment           int64
+	entry             // only slot, offset, length, dst and key
+	flags, retryAfter int64
+	legs              []Leg
 }
 
 func decodeStates(data []byte) (all []state) {
-	d := &decoder{left: data}
-	for n := d.number(); n > 0 && !d.bad; n-- {
+	d := &decoder{rest: data}
+	for n := d.varint(); n > 0 && !d.failed; n-- {
 		var st state
-		st.segment, st.slot = d.number(), uint32(d.number())
-		st.offset, st.length, st.flags, st.advice = d.number(), uint32(d.number()), d.number(), d.number()
-		st.dst, st.key = d.number(), uint64(d.number())
-		for legs := d.number(); legs > 0 && !d.bad; legs-- {
-			st.legs = append(st.legs, readLeg(d))
+		st.segment, st.slot = d.varint(), uint32(d.varint())
+		st.offset, st.length, st.flags, st.retryAfter = d.varint(), uint32(d.varint()), d.varint(), d.varint()
+		st.dst, st.key = d.varint(), uint64(d.varint())
+		for legs := d.varint(); legs > 0 && !d.failed; legs-- {
+			st.legs = append(st.legs, decodeLeg(d))
 		}
-		if !d.bad {
+		if !d.failed {
 			all = append(all, st)
 		}
 	}
--- a/internal/spool/write.go
+++ b/internal/spool/write.go
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-func (s *Spool) path(seg *segment) string {
-	return filepath.Join(s.dir, fmt.Sprintf("%012d%s", seg.number, extension))
+func (s *Spool) segmentPath(seg *segment) string {
+	return filepath.Join(s.dir, fmt.Sprintf("%012d%s", seg.number, segmentExtension))
 }
 
 func (s *Spool) startSegment() error {
-	seg := &segment{number: s.last + 1}
-	f, err := os.OpenFile(s.path(seg), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	seg := &segment{number: s.lastNumber + 1}
+	f, err := os.OpenFile(s.segmentPath(seg), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("spool: %w", err)
 	}
-	if _, err := f.WriteString(magic); err != nil {
+	if _, err := f.WriteString(segmentMagic); err != nil {
 		_ = f.Close()
 		_ = os.Remove(f.Name())
 		return fmt.Errorf("spool: %w", err)
@@ -25,236 +25,237 @@
 	if s.file != nil {
 		_ = s.file.Close()
 	}
-	s.last, s.torn = seg.number, false
-	seg.size = int64(len(magic))
+	s.lastNumber, s.tornTail = seg.number, false
+	seg.size = int64(len(segmentMagic))
 	s.file = f
-	s.order = append(s.order, seg)
+	s.segments = append(s.segments, seg)
 	if s.backlog != nil {
-		s.backlog.step()
+		s.backlog.crashPoint()
 		s.seal()
-		s.backlog.newest = newNewest(seg)
+		s.backlog.newest = newNewestState(seg)
 	}
 	return nil
 }
 
-func (s *Spool) now() *segment { return s.order[len(s.order)-1] }
+func (s *Spool) newestSegment() *segment { return s.segments[len(s.segments)-1] }
 
-func (s *Spool) used() int64 {
+func (s *Spool) usedBytes() int64 {
 	if s.backlog != nil {
-		return s.usedBoth()
+		return s.usedWithIndexes()
 	}
-	sum := s.foreign
-	for _, seg := range s.order {
-		sum += seg.blocks()
+	sum := s.foreignBytes
+	for _, seg := range s.segments {
+		sum += seg.diskSize()
 	}
 	return sum
 }
 
-// segmentSize is that from which on a further segment is begun.
-func (s *Spool) segmentSize() int64 {
+// segmentLimit is the size at which a new segment is started.
+func (s *Spool) segmentLimit() int64 {
 	if s.backlog != nil {
-		return min(s.room/segments, s.backlog.segment)
+		return min(s.capacity/segmentDivisor, s.backlog.maxSegment)
 	}
-	return s.room / segments
+	return s.capacity / segmentDivisor
 }
 
-// fits tells whether so many bytes more stay within a part of the room, a new segment's start counted.
-func (s *Spool) fits(n int64, within int64) bool { return s.used()+n+2*block <= within }
+// fits reports whether n more bytes stay within a limit, including the header of a new segment.
+func (s *Spool) fits(n int64, limit int64) bool { return s.usedBytes()+n+2*blockSize <= limit }
 
-// append writes one record to the newest segment, and opens a further one when that is full.
-func (s *Spool) append(record []byte) error {
-	seg := s.now()
-	if seg.size >= s.segmentSize() || s.torn || s.backlog != nil && s.backlog.newest.full(s.backlog.slots) {
-		if err := s.startSegment(); err != nil && s.torn { // else the old one takes it too: descriptors may be short for a moment
+// appendRecord writes one record to the newest segment, and starts a new segment when that is full.
+func (s *Spool) appendRecord(record []byte) error {
+	seg := s.newestSegment()
+	if seg.size >= s.segmentLimit() || s.tornTail || s.backlog != nil && s.backlog.newest.isFull(s.backlog.maxSlots) {
+		// Otherwise the old segment takes the record: file descriptors may be exhausted for a moment.
+		if err := s.startSegment(); err != nil && s.tornTail {
 			return err
 		}
-		seg = s.now()
+		seg = s.newestSegment()
 	}
 	n, err := s.file.Write(record)
 	if err == nil {
 		seg.size += int64(n)
 		if s.backlog != nil {
-			s.backlog.step()
+			s.backlog.crashPoint()
 		}
 		return nil
 	}
 	if s.file.Truncate(seg.size) == nil {
-		_, cut := s.file.Seek(seg.size, 0)
-		s.torn = cut != nil
+		_, seekErr := s.file.Seek(seg.size, 0)
+		s.tornTail = seekErr != nil
 	} else {
-		s.torn = true
+		s.tornTail = true
 	}
 	return fmt.Errorf("spool: %w", err)
 }
 
-// shrink drops the oldest segments while nothing in them is owed, or little that is cheap to copy forward.
-func (s *Spool) shrink() {
-	for len(s.order) > 1 {
-		oldest := s.order[0]
-		cheap := s.used() > s.room/2 && oldest.live*deadShare <= oldest.size
-		if oldest.owed > 0 && !(cheap && s.forward(oldest)) || !s.remove(oldest) {
+// reclaim removes the oldest segments while nothing in them is pending, or so little that copying it forward is cheap.
+func (s *Spool) reclaim() {
+	for len(s.segments) > 1 {
+		oldest := s.segments[0]
+		cheap := s.usedBytes() > s.capacity/2 && oldest.liveBytes*copyLiveDivisor <= oldest.size
+		if oldest.pending > 0 && !(cheap && s.copyForward(oldest)) || !s.removeOldest(oldest) {
 			return
 		}
 	}
 }
 
-// compact copies all that is owed forward, oldest first, until a record fits. Each segment is taken up once.
-func (s *Spool) compact(n, within int64) bool { return s.compactSome(n, within, s.mayCompact()) }
+// compact copies pending messages forward, oldest segment first, until a record fits. Each segment is copied at most once.
+func (s *Spool) compact(n, limit int64) bool { return s.compactSome(n, limit, s.compactLimit()) }
 
-// compactSome copies the owed messages of at most so many segments.
-func (s *Spool) compactSome(n, within int64, most int) bool {
-	for range most {
-		oldest := s.order[0]
-		if s.fits(n, within) || len(s.order) < 2 || !s.forward(oldest) || !s.remove(oldest) {
+// compactSome copies the pending messages of at most maxSegments segments.
+func (s *Spool) compactSome(n, limit int64, maxSegments int) bool {
+	for range maxSegments {
+		oldest := s.segments[0]
+		if s.fits(n, limit) || len(s.segments) < 2 || !s.copyForward(oldest) || !s.removeOldest(oldest) {
 			break
 		}
 	}
-	return s.fits(n, within)
+	return s.fits(n, limit)
 }
 
-func (s *Spool) remove(oldest *segment) bool {
+func (s *Spool) removeOldest(oldest *segment) bool {
 	if s.backlog != nil && !s.removeIndex(oldest) {
 		return false
 	}
-	if err := os.Remove(s.path(oldest)); err != nil && !os.IsNotExist(err) {
+	if err := os.Remove(s.segmentPath(oldest)); err != nil && !os.IsNotExist(err) {
 		return false
 	}
-	s.order = s.order[1:]
+	s.segments = s.segments[1:]
 	if s.backlog != nil {
-		s.gone(oldest)
+		s.accountRemoval(oldest)
 	}
 	return true
 }
 
-// forward copies what is owed of a segment to the newest one.
-func (s *Spool) forward(old *segment) bool {
+// copyForward copies the pending messages of a segment to the newest one.
+func (s *Spool) copyForward(old *segment) bool {
 	if s.backlog != nil {
-		return s.forwardBoth(old)
+		return s.copyForwardWithIndex(old)
 	}
-	for _, m := range s.owed {
+	for _, m := range s.pending {
 		if m.segment != old {
 			continue
 		}
-		record := m.record()
-		if !s.fits(int64(len(record)), s.room) || s.append(record) != nil {
+		record := m.encode()
+		if !s.fits(int64(len(record)), s.capacity) || s.appendRecord(record) != nil {
 			return false
 		}
-		s.place(m, s.now(), int64(len(record)))
+		s.place(m, s.newestSegment(), int64(len(record)))
 	}
-	return old.owed == 0
+	return old.pending == 0
 }
 
-// Take records a message. Without an error it is owed from now on.
-func (s *Spool) Take(m *Message) error {
+// Accept records a message. If it returns nil, the message is pending.
+func (s *Spool) Accept(m *Message) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.admit(m); err != nil {
 		return err
 	}
-	record := m.record()
+	record := m.encode()
 	n := int64(len(record))
-	if err := s.makeRoom(n); err != nil {
+	if err := s.ensureSpaceForNew(n); err != nil {
 		return err
 	}
-	if err := s.append(record); err != nil {
+	if err := s.appendRecord(record); err != nil {
 		return err
 	}
-	s.place(m, s.now(), n)
-	s.shrink()
+	s.place(m, s.newestSegment(), n)
+	s.reclaim()
 	return nil
 }
 
-// admit counts a message that is to be taken on.
+// admit rejects duplicate and fenced messages and numbers new ones.
 func (s *Spool) admit(m *Message) error {
 	if s.backlog != nil {
-		if _, _, twice, err := s.find(m.ID); twice {
-			return ErrTwice
-		} else if err != nil { // it might be
+		if _, _, duplicate, err := s.findSpilled(m.ID); duplicate {
+			return ErrDuplicate
+		} else if err != nil { // it may be a duplicate
 			return err
 		}
 	}
-	if m.Taken == 0 {
-		s.count++
-		m.Taken = s.mark()
-	} else if s.fenced != nil && s.fenced(m) { // sent again, from before a purge
+	if m.AcceptSeq == 0 {
+		s.acceptCount++
+		m.AcceptSeq = s.lastSeq()
+	} else if s.fence != nil && s.fence(m) { // sent again, from before a purge
 		return ErrFenced
 	}
 	return nil
 }
 
-// makeRoom sees to it that a message fits which is not owed yet, without what is kept for those that are.
-func (s *Spool) makeRoom(n int64) error {
-	within := s.within()
-	if !s.fits(n, within) && (s.live+n > within || !s.compact(n, within)) || s.crowded() {
+// ensureSpaceForNew makes space for a new message and leaves the reserve for messages already accepted untouched.
+func (s *Spool) ensureSpaceForNew(n int64) error {
+	limit := s.newMessageLimit()
+	if !s.fits(n, limit) && (s.liveBytes+n > limit || !s.compact(n, limit)) || s.tooManyUnwritten() {
 		return ErrFull
 	}
 	return nil
 }
 
-// note records something of a message owed.
-func (s *Spool) note(m *Message, record []byte, change func()) error {
+// update records a change of a pending message.
+func (s *Spool) update(m *Message, record []byte, change func()) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.noteHeld(m, record, change)
+	return s.updateLocked(m, record, change)
 }
 
-// noteHeld is note with the lock held.
-func (s *Spool) noteHeld(m *Message, record []byte, change func()) error {
-	if s.owed[m.ID] != m {
-		return ErrOver
+// updateLocked is update with the lock held.
+func (s *Spool) updateLocked(m *Message, record []byte, change func()) error {
+	if s.pending[m.ID] != m {
+		return ErrNotPending
 	}
-	if err := s.noteRoom(int64(len(record))); err != nil {
+	if err := s.ensureSpaceForUpdate(int64(len(record))); err != nil {
 		return err
 	}
-	if err := s.append(record); err != nil {
+	if err := s.appendRecord(record); err != nil {
 		return err
 	}
 	change()
 	return nil
 }
 
-// Leg records a leg before its first byte goes out, or one that surely never ran.
-func (s *Spool) Leg(m *Message, l Leg) error {
-	return s.note(m, begin(recLeg, m.ID).leg(l).seal(), func() { m.addLeg(l) })
+// AddLeg records a leg before its first byte is sent, or a leg that certainly never ran.
+func (s *Spool) AddLeg(m *Message, l Leg) error {
+	return s.update(m, newRecord(recLeg, m.ID).leg(l).finish(), func() { m.addLeg(l) })
 }
 
-// NeverRan records that the latest leg surely never ran.
-func (s *Spool) NeverRan(m *Message) error {
-	return s.note(m, begin(recUnrun, m.ID).seal(), m.unrun)
+// MarkNeverRan records that the latest leg certainly never ran.
+func (s *Spool) MarkNeverRan(m *Message) error {
+	return s.update(m, newRecord(recNeverRan, m.ID).finish(), m.markNeverRan)
 }
 
-// Legs are those on record by now.
+// Legs returns the legs recorded so far.
 func (s *Spool) Legs(m *Message) []Leg {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(m.Legs)
 }
 
-// End records that a message ended undelivered: no leg goes out for it any more, its notice is owed.
-func (s *Spool) End(m *Message, pushedBack bool, advice int64) error {
-	return s.note(m, begin(recEnded, m.ID).number(flag(pushedBack)).number(advice).seal(), func() {
-		m.Ended, m.PushedBack, m.Advice = true, pushedBack, advice
+// MarkUndelivered records that a message ended undelivered: no further leg starts, and its notice is pending.
+func (s *Spool) MarkUndelivered(m *Message, rejected bool, retryAfter int64) error {
+	return s.update(m, newRecord(recUndelivered, m.ID).varint(boolToInt(rejected)).varint(retryAfter).finish(), func() {
+		m.Ended, m.Rejected, m.RetryAfter = true, rejected, retryAfter
 	})
 }
 
-// Over records that nothing is owed for a message any more, also for one that was given to Spill.
-func (s *Spool) Over(m *Message) error {
+// Complete records that nothing of a message is pending any more. It also accepts a message that was passed to Spill.
+func (s *Spool) Complete(m *Message) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.backlog != nil && s.owed[m.ID] != m {
-		return s.withdraw(m)
+	if s.backlog != nil && s.pending[m.ID] != m {
+		return s.completeReleased(m)
 	}
-	return s.recordOver(m)
+	return s.completeLocked(m)
 }
 
-func (s *Spool) recordOver(m *Message) error {
-	return s.noteHeld(m, begin(recOver, m.ID).seal(), func() {
-		s.drop(m)
-		s.shrink()
+func (s *Spool) completeLocked(m *Message) error {
+	return s.updateLocked(m, newRecord(recCompleted, m.ID).finish(), func() {
+		s.dropPending(m)
+		s.reclaim()
 	})
 }
 
-// Close closes the file written to.
+// Close closes the newest segment.
 func (s *Spool) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/startup/startup_test.go
+++ b/internal/startup/startup_test.go
@@ -11,11 +11,11 @@
 	"github.com/tidwall/gjson"
 )
 
-func TestTimesThatAreNotToldAreNotZero(t *testing.T) {
-	up, idle := Connections(gjson.Parse(`{"limits":{}}`))
-	assert.Equal(t, []time.Duration{untoldUp, untoldIdle}, []time.Duration{up, idle})
-	up, idle = Connections(gjson.Parse(`{"limits":{"connect_timeout":250.5,"conn_idle":9000}}`))
-	assert.Equal(t, []time.Duration{250500 * time.Microsecond, 9 * time.Second}, []time.Duration{up, idle})
+func TestUnsetTimeoutsTakeTheirDefaults(t *testing.T) {
+	connect, idle := ConnTimeouts(gjson.Parse(`{"limits":{}}`))
+	assert.Equal(t, []time.Duration{defaultConnectTimeout, defaultIdleTimeout}, []time.Duration{connect, idle})
+	connect, idle = ConnTimeouts(gjson.Parse(`{"limits":{"connect_timeout":250.5,"conn_idle":9000}}`))
+	assert.Equal(t, []time.Duration{250500 * time.Microsecond, 9 * time.Second}, []time.Duration{connect, idle})
 }
 
 func TestEachMissingVariableIsNamed(t *testing.T) {
@@ -33,7 +33,7 @@
 	c, err := Read(func(string) string { return path })
 	require.NoError(t, err)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), Seed(c))
-	assert.Equal(t, fewSockets, Sockets(c))
-	assert.EqualValues(t, 32<<20, Memory(c))
-	assert.EqualValues(t, 48<<20, Memory(gjson.Parse(`{"limits":{"memory_mb":48}}`)), "the limit told, not more")
+	assert.Equal(t, defaultSockets, MaxSockets(c))
+	assert.EqualValues(t, 32<<20, MaxMemoryBytes(c))
+	assert.EqualValues(t, 48<<20, MaxMemoryBytes(gjson.Parse(`{"limits":{"memory_mb":48}}`)), "exactly the configured limit")
 }
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML that people write: an unknown or ill-typed setting is a fault with its file, line and column, and
-// the nearest right name. Settings are also found and set by path.
+// Package strict decodes hand-written TOML: an unknown or ill-typed setting is an error with its file, line
+// and column and the most similar valid name. It also looks up and sets settings by path.
 package strict
 
 import (
@@ -15,35 +15,35 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Span is a length of time in µs, written like "250ms".
-type Span int64
+// Duration is a length of time in µs, written like "250ms".
+type Duration int64
 
-// UnmarshalText reads a length of time.
-func (s *Span) UnmarshalText(text []byte) error {
+// UnmarshalText parses a duration.
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no length of time, such as 250ms or 1m30s", text)
 	}
 	if d < 0 {
-		return fmt.Errorf("a length of time is never below 0")
+		return fmt.Errorf("a length of time must not be negative")
 	}
-	*s = Span(d.Microseconds())
+	*s = Duration(d.Microseconds())
 	return nil
 }
 
-// MarshalText writes it.
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+// MarshalText formats the duration.
+func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-func (s Span) String() string { return (time.Duration(s) * time.Microsecond).String() }
+func (s Duration) String() string { return (time.Duration(s) * time.Microsecond).String() }
 
-// Fault is one thing wrong with a file, and where.
-type Fault struct {
+// SettingError describes one problem in a file and its position.
+type SettingError struct {
 	File         string
 	Line, Column int
 	Path, What   string
 }
 
-func (f Fault) Error() string {
+func (f SettingError) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("%s: %s: %s", at, f.Path, f.What)
 }
 
-// Faults turns what the decoder says of a text for a type into faults with places and right names.
-func Faults(file string, t reflect.Type, err error) error {
+// DecodeErrors converts the decoder's error for a type into errors with positions and suggested names.
+func DecodeErrors(file string, t reflect.Type, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		var faults []error
@@ -63,25 +63,26 @@
 			line, column := e.Position()
 			path := strings.Join(e.Key(), ".")
 			what := "no such setting"
-			if near := nearest(t, e.Key()); near != "" {
+			if near := nearestName(t, e.Key()); near != "" {
 				what += "; did you mean " + near + "?"
 			}
-			faults = append(faults, Fault{file, line, column, path, what})
+			faults = append(faults, SettingError{file, line, column, path, what})
 		}
 		return errors.Join(faults...)
 	}
 	var bad *toml.DecodeError
 	if errors.As(err, &bad) {
 		line, column := bad.Position()
-		return Fault{file, line, column, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")}
+		return SettingError{file, line, column, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")}
 	}
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// nearest finds the setting that a wrong name most likely means: within its own table, else anywhere.
-func nearest(t reflect.Type, key []string) string {
+// nearestName returns the setting that an unknown name most likely means: the most similar one in its own
+// table, or in the innermost known table around it; empty if none is similar.
+func nearestName(t reflect.Type, key []string) string {
 	for _, part := range key[:len(key)-1] {
-		f, ok := field(t, part)
+		f, ok := fieldByTag(t, part)
 		if !ok {
 			break
 		}
@@ -90,7 +91,7 @@
 		}
 	}
 	wrong, best, least := key[len(key)-1], "", 0
-	for _, name := range names(t) {
+	for _, name := range fieldNames(t) {
 		if d := levenshtein.ComputeDistance(wrong, name); best == "" || d < least {
 			best, least = name, d
 		}
@@ -101,19 +102,19 @@
 	return best
 }
 
-func names(t reflect.Type) (ns []string) {
+func fieldNames(t reflect.Type) (ns []string) {
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
 	for i := range t.NumField() {
-		if n := tag(t.Field(i)); n != "" {
+		if n := tomlTag(t.Field(i)); n != "" {
 			ns = append(ns, n)
 		}
 	}
 	return ns
 }
 
-func tag(f reflect.StructField) string {
+func tomlTag(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	if name == "-" {
 		return ""
@@ -121,10 +122,10 @@
 	return name
 }
 
-func field(t reflect.Type, name string) (reflect.StructField, bool) {
+func fieldByTag(t reflect.Type, name string) (reflect.StructField, bool) {
 	if t.Kind() == reflect.Struct {
 		for i := range t.NumField() {
-			if tag(t.Field(i)) == name {
+			if tomlTag(t.Field(i)) == name {
 				return t.Field(i), true
 			}
 		}
@@ -132,37 +133,38 @@
 	return reflect.StructField{}, false
 }
 
-// Place is a line and a column, from 1.
-type Place struct{ Line, Column int }
+// Position is a line and a column, counted from 1.
+type Position struct{ Line, Column int }
 
-// Places says where each setting of a file stands, by its path.
-type Places map[string]Place
+// Positions maps the path of each setting of a file to its position.
+type Positions map[string]Position
 
-// Near finds the place of a path, or of the table it belongs to.
-func (p Places) Near(path string) Place {
+// Nearest returns the position of a path, or of the innermost table that contains it.
+func (p Positions) Nearest(path string) Position {
 	for path != "" {
 		if at, known := p[path]; known {
 			return at
 		}
 		path = path[:max(0, strings.LastIndexByte(path, '.'))]
 	}
-	return Place{}
+	return Position{}
 }
 
-// Locate walks a file's expressions: where its settings stand, and how many entries each array of tables has.
-func Locate(text []byte) (Places, map[string]int) {
-	at, counts := Places{}, map[string]int{}
+// Locate parses a file and returns the positions of its settings and the number of entries of each array of
+// tables.
+func Locate(text []byte) (Positions, map[string]int) {
+	at, counts := Positions{}, map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	table := ""
 	for p.NextExpression() {
 		e := p.Expression()
 		var parts []string
-		var first Place
+		var first Position
 		for it := e.Key(); it.Next(); {
 			if len(parts) == 0 {
 				s := p.Shape(it.Node().Raw).Start
-				first = Place{s.Line, s.Column}
+				first = Position{s.Line, s.Column}
 			}
 			parts = append(parts, string(it.Node().Data))
 		}
@@ -187,7 +189,7 @@
 				for it := v.Children(); it.Next(); {
 					for k := it.Node().Key(); k.Next(); {
 						s := p.Shape(k.Node().Raw).Start
-						at[path+"."+string(k.Node().Data)] = Place{s.Line, s.Column}
+						at[path+"."+string(k.Node().Data)] = Position{s.Line, s.Column}
 					}
 				}
 			}
@@ -196,7 +198,7 @@
 	return at, counts
 }
 
-// Set changes one setting of what at points to, by its path, such as team.senders or trouble.0.size.
+// Set sets one field of the struct that at points to, by its path, such as team.senders or trouble.0.size.
 func Set(at any, path, value string) error {
 	v := reflect.ValueOf(at).Elem()
 	for _, part := range strings.Split(path, ".") {
@@ -208,23 +210,23 @@
 			v = v.Index(i)
 			continue
 		}
-		f, ok := field(v.Type(), part)
+		f, ok := fieldByTag(v.Type(), part)
 		if !ok {
 			what := fmt.Sprintf("%s: no setting %s", path, part)
-			if near := nearest(v.Type(), []string{part}); near != "" {
+			if near := nearestName(v.Type(), []string{part}); near != "" {
 				what += "; did you mean " + near + "?"
 			}
 			return errors.New(what)
 		}
 		v = v.FieldByIndex(f.Index)
 	}
-	if err := assign(v, value); err != nil {
+	if err := setValue(v, value); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-func assign(v reflect.Value, text string) error {
+func setValue(v reflect.Value, text string) error {
 	if u, ok := v.Addr().Interface().(interface{ UnmarshalText([]byte) error }); ok {
 		return u.UnmarshalText([]byte(text))
 	}
@@ -250,10 +252,10 @@
 		}
 		v.SetBool(b)
 	default:
-		return errors.New("only single values can be set")
+		return errors.New("only scalar values can be set")
 	}
 	return nil
 }
 
-// Name is a field's name in TOML, empty for none.
-func Name(f reflect.StructField) string { return tag(f) }
+// TOMLName returns the name of a field in TOML, empty for none.
+func TOMLName(f reflect.StructField) string { return tomlTag(f) }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -8,79 +8,81 @@
 	"time"
 )
 
-// Client is one client's connection.
+// Client is the connection of one client.
 type Client struct {
 	*Conn
-	server *Server
-	stage  stage     // under the server's lock, like all that follows
-	at     time.Time // when it came to that stage
-	since  time.Time // of served ones when they were last idle, else when they came
-	leave  bool      // to be closed when idle
-	until  time.Time // of those: nothing more is read from then on
-	served bool      // has had a command answered
-	hasty  bool      // its reading away was cut short
+	server     *Server
+	stage      stage     // guarded by the server's lock, like all fields below
+	stageSince time.Time // when it entered the stage
+	idleSince  time.Time // for served clients the start of the last idle time, for others the time of connecting
+	closing    bool      // to be closed when idle
+	readUntil  time.Time // if closing: nothing more is read after this time
+	served     bool      // at least one command was answered
+	lingerCut  bool      // its lingering close was cut short
 }
 
-// moment is one of those in which what a client writes crosses our close.
-type moment uint8
+// closeEvent is a point of closing a connection at which data from the client may arrive.
+type closeEvent uint8
 
 const (
-	timeUp  moment = iota // the wait is over, nothing was looked at again
-	seen                  // nothing had come at the last look; not shut yet
-	shut                  // for writing
-	lastEnd               // nothing more is read; not closed yet
+	deadlinePassed closeEvent = iota // the wait has timed out; the socket has not been checked again
+	lastPeekDone                     // nothing had arrived at the last check; not shut down yet
+	writeShutDown                    // shut down for writing
+	lingerDone                       // reading has ended; not closed yet
 )
 
-// stage is where a client's connection stands.
+// stage is the state of a client's connection.
 type stage uint8
 
-// Waiting and begun follow each other until the client ends or breaks its connection, or we part with it.
+// awaitingCommand and inCommand alternate until the client closes or breaks the connection, or the server
+// closes it.
 const (
-	begun   stage = iota // a command has begun, or its answer is made and written
-	waiting              // for the first byte of a command
-	parting              // shut for writing; what still comes is read away
+	inCommand       stage = iota // a command has begun, or its reply is being prepared and written
+	awaitingCommand              // waiting for the first byte of a command
+	lingering                    // shut down for writing; further input is read and discarded
 )
 
-func (c *Client) goesBefore(o *Client, now time.Time) bool {
-	if a, b := c.rank(now), o.rank(now); a != b {
+func (c *Client) evictedBefore(o *Client, now time.Time) bool {
+	if a, b := c.evictionRank(now), o.evictionRank(now); a != b {
 		return a < b
 	}
-	return c.from().Before(o.from())
+	return c.evictableSince().Before(o.evictableSince())
 }
 
-// from is since when it is what it is let go for.
-func (c *Client) from() time.Time {
-	if c.stage == begun {
-		return c.at
+// evictableSince returns the start of the condition for which the client may be evicted.
+func (c *Client) evictableSince() time.Time {
+	if c.stage == inCommand {
+		return c.stageSince
 	}
-	return c.since
+	return c.idleSince
 }
 
-// stays is the rank of those that are not let go: they are leaving already, or have just begun a command.
-const stays = 4
+// notEvictable is the rank of clients that are being closed already or have just begun a command.
+const notEvictable = 4
 
-// rank is lower for those that are let go sooner.
-func (c *Client) rank(now time.Time) int {
+// evictionRank returns the order of eviction; clients of a lower rank are evicted first.
+func (c *Client) evictionRank(now time.Time) int {
 	switch grace := c.server.grace; {
-	case c.leave:
-		return stays
-	case c.stage == begun && now.Sub(c.at) < grace:
-		return stays
-	case c.stage == begun && now.Sub(c.at) < c.server.command:
+	case c.closing:
+		return notEvictable
+	case c.stage == inCommand && now.Sub(c.stageSince) < grace:
+		return notEvictable
+	case c.stage == inCommand && now.Sub(c.stageSince) < c.server.command:
 		return 2
-	case c.stage == begun:
+	case c.stage == inCommand:
 		return 0
 	case c.served:
 		return 1
-	case now.Sub(c.since) < grace:
+	case now.Sub(c.idleSince) < grace:
 		return 3
 	}
 	return 0
 }
 
-// Served marks a client whose command was of use. Danger: clients that ask once and hold on take all the places that
-// usual ones have among them, and the next cannot even connect. So beyond a part of the bound the longest idle goes.
-func (c *Client) Served() {
+// MarkServed marks a client whose command was valid. Clients that send one command and keep the connection
+// would together take all slots, and the next client could not even connect. So beyond a fraction of the limit
+// the client that has been idle longest is evicted.
+func (c *Client) MarkServed() {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,203 +93,207 @@
 	served := 0
 	var oldest *Client
 	for o := range s.clients {
-		if !o.served || o.leave {
+		if !o.served || o.closing {
 			continue
 		}
 		served++
-		if o.stage == waiting && (oldest == nil || o.since.Before(oldest.since)) {
+		if o.stage == awaitingCommand && (oldest == nil || o.idleSince.Before(oldest.idleSince)) {
 			oldest = o
 		}
 	}
-	if served > s.served && oldest != nil {
-		s.letGo(oldest)
+	if served > s.maxIdleServed && oldest != nil {
+		s.evict(oldest)
 	}
 }
 
-// dismiss has a connection closed as soon as it is idle. The lock is held.
-func (c *Client) dismiss() {
-	c.goes()
+// drain closes a connection as soon as it is idle. The caller holds the lock.
+func (c *Client) drain() {
+	c.markClosing()
 	switch {
-	case c.server.cut: // its time is over already
-	case c.stage == waiting:
-		c.lookLast()
-	case c.stage == begun: // a limit for reading: an answer that is under way does not mind
-		_ = c.SetReadDeadline(c.at.Add(c.server.command))
+	case c.server.aborted: // its deadline has already passed
+	case c.stage == awaitingCommand:
+		c.awaitLastCommand()
+	case c.stage == inCommand: // a read deadline; a reply that is being written is not affected
+		_ = c.SetReadDeadline(c.stageSince.Add(c.server.command))
 	}
 }
 
-// goes counts a connection among those that leave. Danger: one that sends without an end never waits for a command, so it would
-// stay; its time runs out. The lock is held.
-func (c *Client) goes() {
-	if !c.leave {
-		c.leave, c.until = true, time.Now().Add(c.server.command)
-		c.server.going++
+// markClosing marks a connection as closing and sets the time at which reading ends: a client that sends
+// without pause never becomes idle and would stay otherwise. The caller holds the lock.
+func (c *Client) markClosing() {
+	if !c.closing {
+		c.closing, c.readUntil = true, time.Now().Add(c.server.command)
+		c.server.closingClients++
 	}
 }
 
-// lookLast waits a last moment for a command. New clients have the time to speak first: closed unanswered they may have lost a message.
-// The lock is held.
-func (c *Client) lookLast() {
-	until := time.Now().Add(lastLook)
-	if speak := c.since.Add(c.server.grace); !c.served && speak.After(until) {
-		until = speak
+// awaitLastCommand sets a short deadline for a last command. New clients are given time to send one: if they
+// are closed without a reply, a message may be lost. The caller holds the lock.
+func (c *Client) awaitLastCommand() {
+	until := time.Now().Add(lastPeekTime)
+	if graceEnd := c.idleSince.Add(c.server.grace); !c.served && graceEnd.After(until) {
+		until = graceEnd
 	}
-	_ = c.SetReadDeadline(earlier(until, c.until))
+	_ = c.SetReadDeadline(earlier(until, c.readUntil))
 }
 
-// Await waits for the next command; false ends the connection, between commands.
-func (c *Client) Await() bool {
-	c.enter(waiting)
+// AwaitCommand waits for the next command. It returns false if the connection has ended between commands.
+func (c *Client) AwaitCommand() bool {
+	c.setStage(awaitingCommand)
 	if _, err := c.R.Peek(1); !isTimeout(err) {
-		c.enter(begun)
+		c.setStage(inCommand)
 		return err == nil
 	}
-	c.atEdge(timeUp)
-	came := c.came()
-	if came && c.mayGoOn() {
-		c.enter(begun)
+	c.notifyCloseEvent(deadlinePassed)
+	ready := c.hasInput()
+	if ready && c.mayContinue() {
+		c.setStage(inCommand)
 		return true
 	}
-	if !came {
-		c.silent()
+	if !ready {
+		c.countIdleTimeout()
 	}
-	c.atEdge(seen)
-	c.part()
+	c.notifyCloseEvent(lastPeekDone)
+	c.lingeringClose()
 	return false
 }
 
-// mayGoOn tells whether a command that came as the time ran out is heard. Of those that said nothing of use it is among the last ones.
-func (c *Client) mayGoOn() bool {
+// mayContinue reports whether a command that arrived as the deadline passed is executed. It marks a client that
+// has sent no valid command as closing, so that client can send only a few more.
+func (c *Client) mayContinue() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if !c.served {
-		c.goes()
+		c.markClosing()
 	}
-	return !c.leave || time.Now().Before(c.until) || c.server.cut
+	return !c.closing || time.Now().Before(c.readUntil) || c.server.aborted
 }
 
-// came looks past a time limit that is over whether there is something to read, the connection's end included. Danger: reading stops at
-// the limit whatever stands in the kernel, and a close over it resets the connection.
-func (c *Client) came() bool {
+// hasInput checks after a passed deadline whether there is something to read, end of file included. Reading
+// stops at the deadline whatever the kernel has buffered, and closing a connection with unread data resets it.
+func (c *Client) hasInput() bool {
 	raw, ok := c.Conn.Conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	under, err := raw.SyscallConn()
+	rawConn, err := raw.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var one [1]byte
 	var got error
-	err = under.Control(func(fd uintptr) {
+	err = rawConn.Control(func(fd uintptr) {
 		_, _, got = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return err == nil && !errors.Is(got, syscall.EAGAIN)
 }
 
-func (c *Client) silent() {
+func (c *Client) countIdleTimeout() {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !c.leave {
-		s.crowd.Quiet++
+	if !c.closing {
+		s.stats.IdleTimeouts++
 	}
 }
 
-// Late tells whether a command did not come whole in time, and counts it. Its last byte may be on its way: it is owed an answer.
-func (c *Client) Late(err error) bool {
+// CountTimeout reports whether err is the timeout of an incomplete command, and counts it. The last byte of
+// the command may be in transit, so the client is sent a reply.
+func (c *Client) CountTimeout(err error) bool {
 	if !isTimeout(err) {
 		return false
 	}
-	c.server.count(&c.server.crowd.Begun)
+	c.server.increment(&c.server.stats.CommandTimeouts)
 	return true
 }
 
-func (c *Client) atEdge(m moment) {
-	if c.server.edge != nil {
-		c.server.edge(c, m)
+func (c *Client) notifyCloseEvent(m closeEvent) {
+	if c.server.onCloseEvent != nil {
+		c.server.onCloseEvent(c, m)
 	}
 }
 
-// enter is the one place where the stage changes, and with it the time limit.
-func (c *Client) enter(next stage) {
+// setStage is the only place that changes the stage, and with it the deadline.
+func (c *Client) setStage(next stage) {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	c.stage, c.at = next, now
+	c.stage, c.stageSince = next, now
 	switch {
-	case next == parting:
-		c.goes()
-		_ = c.SetReadDeadline(now.Add(s.words))
-	case s.cut:
+	case next == lingering:
+		c.markClosing()
+		_ = c.SetReadDeadline(now.Add(s.linger))
+	case s.aborted:
 		_ = c.SetReadDeadline(now)
-	case next == begun:
-		_ = c.SetReadDeadline(c.commandEnds())
-	case c.leave:
-		c.lookLast()
-	case !c.served: // bad commands do not buy time
-		_ = c.SetReadDeadline(c.since.Add(s.first))
+	case next == inCommand:
+		_ = c.SetReadDeadline(c.commandDeadline())
+	case c.closing:
+		c.awaitLastCommand()
+	case !c.served: // invalid commands do not extend the time limit
+		_ = c.SetReadDeadline(c.idleSince.Add(s.first))
 	default:
-		c.since = now
+		c.idleSince = now
 		_ = c.SetReadDeadline(now.Add(s.idle))
 	}
-	if next == waiting && c.R.Buffered() == 0 {
-		c.rest()
+	if next == awaitingCommand && c.R.Buffered() == 0 {
+		c.releaseBuffers()
 	}
 }
 
-// commandEnds is when a command that begins now has to have come. The lock is held.
-func (c *Client) commandEnds() time.Time {
+// commandDeadline returns the time by which a command that begins now must be complete. The caller holds the
+// lock.
+func (c *Client) commandDeadline() time.Time {
 	s := c.server
-	until, slow := c.at.Add(s.command), c.at.Add(s.slow)
+	until, slow := c.stageSince.Add(s.command), c.stageSince.Add(s.slow)
 	if !c.served {
-		slow = c.since.Add(s.slow)
+		slow = c.idleSince.Add(s.slow)
 	}
 	switch {
-	case c.leave:
-		return earlier(until, c.until)
+	case c.closing:
+		return earlier(until, c.readUntil)
 	case slow.After(until):
 		return slow
 	}
 	return until
 }
 
-// Answer sends what was written.
-func (c *Client) Answer() error {
-	c.answersWithin(answerTime)
+// SendReply sends the buffered reply.
+func (c *Client) SendReply() error {
+	c.setReplyTimeout(replyTimeout)
 	return c.Flush()
 }
 
-// answersWithin sets the time limit of an answer, which is shorter after Cut.
-func (c *Client) answersWithin(d time.Duration) {
+// setReplyTimeout sets the write deadline for a reply, which is shorter after Abort.
+func (c *Client) setReplyTimeout(d time.Duration) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	if c.server.cut {
-		d = lastWords
+	if c.server.aborted {
+		d = lingerTime
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(d))
 }
 
-// Farewell sends what was written as the last answer and parts with the client.
-func (c *Client) Farewell() {
-	if c.Answer() == nil {
-		c.part()
+// ReplyAndClose sends the buffered bytes as the last reply and closes the connection.
+func (c *Client) ReplyAndClose() {
+	if c.SendReply() == nil {
+		c.lingeringClose()
 	}
 }
 
-// part ends a connection from our side: shut for writing, then what still comes is read away, up to the client's end, a moment or
-// a bound. Danger: closing on unread bytes resets the connection, and answers on their way are lost with it. What is read
-// from here on is never carried out: nobody could be answered.
-func (c *Client) part() {
-	c.enter(parting)
-	half, ok := c.Conn.Conn.(*net.TCPConn)
-	if !ok || half.CloseWrite() != nil {
+// lingeringClose closes a connection from the server's side: it shuts it down for writing, then discards
+// further input until the client closes, a deadline passes or a limit is reached. Closing with unread data
+// would reset the connection and lose replies in transit. Input read from here on is never executed, since no
+// reply could be sent.
+func (c *Client) lingeringClose() {
+	c.setStage(lingering)
+	tcpConn, ok := c.Conn.Conn.(*net.TCPConn)
+	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	c.atEdge(shut)
-	if n, _ := io.Copy(io.Discard, io.LimitReader(half, mostUnread)); n > 0 {
-		c.server.count(&c.server.crowd.Crossed)
+	c.notifyCloseEvent(writeShutDown)
+	if n, _ := io.Copy(io.Discard, io.LimitReader(tcpConn, maxLingerBytes)); n > 0 {
+		c.server.increment(&c.server.stats.WroteAfterClose)
 	}
-	c.atEdge(lastEnd)
+	c.notifyCloseEvent(lingerDone)
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-const bufferSize = 512 // bytes for the parsers, beside the rings
+const bufferSize = 512 // bytes for the parsers, in addition to the ring buffers
 
-// Conn is a connection with a ring a direction. One goroutine reads and writes it; others may only close it
-// or move its time limits.
+// Conn is a connection with one ring buffer per direction. One goroutine reads and writes it; others may only
+// close it or change its deadlines.
 type Conn struct {
 	net.Conn
 	in, out ring
 	R       *bufio.Reader
 	W       *bufio.Writer
 
-	first func() bool // asked once, right before the next byte goes out: whether it may; nil for no question
-	last  bool        // once, a read whose time is up takes what has come
+	beforeFirstByte  func() bool // called once, right before the next byte is sent, to authorize it; may be nil
+	readPastDeadline bool        // once: a read past its deadline returns the bytes that have already arrived
 }
 
-var errNotNow = errors.New("write: not any more")
+var errNotAuthorized = errors.New("write: call no longer authorized")
 
-// Over gives a connection its rings.
-func Over(c net.Conn) *Conn { return newConn(c) }
+// WrapConn adds ring buffers to a connection.
+func WrapConn(c net.Conn) *Conn { return newConn(c) }
 
 func newConn(c net.Conn) *Conn {
 	n := &Conn{Conn: c}
@@ -36,36 +36,37 @@
 	return n
 }
 
-// Read empties the ring, and fills it first where it is empty.
+// Read reads from the ring buffer, and fills it first if it is empty.
 func (c *Conn) Read(p []byte) (int, error) {
-	if c.in.held == 0 {
-		n, err := c.Conn.Read(c.in.space())
-		if n == 0 && c.last && isTimeout(err) {
-			c.last = false
-			n = c.come(c.in.space())
+	if c.in.length == 0 {
+		n, err := c.Conn.Read(c.in.writable())
+		if n == 0 && c.readPastDeadline && isTimeout(err) {
+			c.readPastDeadline = false
+			n = c.readAvailable(c.in.writable())
 		}
-		c.in.filled(n)
+		c.in.commit(n)
 		if n == 0 {
 			return 0, err
 		}
 	}
-	n := copy(p, c.in.front())
-	c.in.drained(n)
+	n := copy(p, c.in.readable())
+	c.in.consume(n)
 	return n, nil
 }
 
-// come reads what is there, whatever the time. Danger: an answer that came in time and was not read in time, by a process that was
-// stopped or had much to do, would be lost, and a wait that it tells with it.
-func (c *Conn) come(p []byte) (n int) {
+// readAvailable reads what has already arrived, regardless of the deadline. A response that arrived in time
+// but was not read in time, because the process was suspended or busy, would otherwise be lost, and its
+// Retry-After with it.
+func (c *Conn) readAvailable(p []byte) (n int) {
 	if raw, ok := c.Conn.(syscall.Conn); ok {
-		if under, err := raw.SyscallConn(); err == nil {
-			_ = under.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT) })
+		if rawConn, err := raw.SyscallConn(); err == nil {
+			_ = rawConn.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT) })
 		}
 	}
 	return max(0, n)
 }
 
-// Write fills the ring, which goes out when full.
+// Write appends to the ring buffer, which is sent when it is full.
 func (c *Conn) Write(p []byte) (done int, err error) {
 	for done < len(p) {
 		if c.out.full() {
@@ -73,23 +74,23 @@
 				return done, err
 			}
 		}
-		n := copy(c.out.space(), p[done:])
-		c.out.filled(n)
+		n := copy(c.out.writable(), p[done:])
+		c.out.commit(n)
 		done += n
 	}
 	return done, nil
 }
 
 func (c *Conn) drain() error {
-	if ask := c.first; ask != nil && c.out.held > 0 {
-		if !ask() {
-			return errNotNow
+	if authorize := c.beforeFirstByte; authorize != nil && c.out.length > 0 {
+		if !authorize() {
+			return errNotAuthorized
 		}
-		c.first = nil
+		c.beforeFirstByte = nil
 	}
-	for c.out.held > 0 {
-		n, err := c.Conn.Write(c.out.front())
-		c.out.drained(n)
+	for c.out.length > 0 {
+		n, err := c.Conn.Write(c.out.readable())
+		c.out.consume(n)
 		if err != nil {
 			return fmt.Errorf("write: %w", err)
 		}
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// Flush sends all that was written.
+// Flush sends all buffered bytes.
 func (c *Conn) Flush() error {
 	if err := c.W.Flush(); err != nil {
 		return err
@@ -105,50 +106,53 @@
 	return c.drain()
 }
 
-// drop has Close reset the connection. Danger: closed the usual way, the system goes on sending what it still holds of a call that was
-// given up, and a machine that was cut off gets it whole long after, when its message may have gone elsewhere.
-func (c *Conn) drop() {
+// resetOnClose makes Close reset the connection. After a normal close the kernel goes on sending what it has
+// buffered of a cancelled call, and a receiver that was cut off would get it in full much later, when its
+// message may have been sent elsewhere.
+func (c *Conn) resetOnClose() {
 	if l, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = l.SetLinger(0)
 	}
 }
 
-// rest gives back the memory that an idle connection does not need.
-func (c *Conn) rest() {
+// releaseBuffers frees the memory that an idle connection does not need.
+func (c *Conn) releaseBuffers() {
 	c.in.release()
 	c.out.release()
 }
 
-// sight is what a look at a connection shows that waits for nothing.
-type sight uint8
+// connState is the state of a connection as seen without blocking.
+type connState uint8
 
 const (
-	still sight = iota // up, with nothing to read
-	spoke              // it has brought bytes
-	ended              // closed by the other side, or broken
+	stateIdle     connState = iota // open, with nothing to read
+	stateReadable                  // data has arrived
+	stateClosed                    // closed by the peer, or failed
 )
 
-// quiet tells whether a connection that waits for nothing is still up and has brought nothing that nobody asked
-// for: such bytes, wherever they stand, must never pass for the next answer. It takes off the time limit for reading.
-func (c *Conn) quiet() bool { return c.SetReadDeadline(time.Time{}) == nil && c.look() == still }
+// isIdle reports whether an idle connection is still open and has received no unsolicited bytes: wherever they
+// are buffered, they must never be taken for the next response. It clears the read deadline.
+func (c *Conn) isIdle() bool {
+	return c.SetReadDeadline(time.Time{}) == nil && c.peekState() == stateIdle
+}
 
-// look is within the time limit for reading: past it, a connection counts as ended.
-func (c *Conn) look() sight {
-	if c.R.Buffered() > 0 || c.in.held > 0 {
-		return spoke
+// peekState is subject to the read deadline: past it, a connection counts as closed.
+func (c *Conn) peekState() connState {
+	if c.R.Buffered() > 0 || c.in.length > 0 {
+		return stateReadable
 	}
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return ended
+		return stateClosed
 	}
-	under, err := raw.SyscallConn()
+	rawConn, err := raw.SyscallConn()
 	if err != nil {
-		return ended
+		return stateClosed
 	}
 	var one [1]byte
 	var n int
 	var got error
-	err = under.Read(func(fd uintptr) bool {
+	err = rawConn.Read(func(fd uintptr) bool {
 		for got = syscall.EINTR; errors.Is(got, syscall.EINTR); {
 			n, _, got = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
@@ -156,14 +160,14 @@
 	})
 	switch {
 	case err == nil && got == nil && n > 0:
-		return spoke
+		return stateReadable
 	case err == nil && errors.Is(got, syscall.EAGAIN):
-		return still
+		return stateIdle
 	}
-	return ended
+	return stateClosed
 }
 
-// Dial opens a single connection that is no pool's. It closes when ctx ends.
+// Dial opens a single connection outside any pool. It is closed when ctx ends.
 func Dial(ctx context.Context, addr string, within time.Duration) (*Conn, error) {
 	c, err := connect(ctx, addr, time.Now().Add(within))
 	if err != nil {
--- a/internal/transport/datagram.go
+++ b/internal/transport/datagram.go
@@ -9,45 +9,45 @@
 	"time"
 )
 
-// MostNote is the longest datagram between senders, in bytes.
-const MostNote = 256
+// MaxDatagram is the maximum size of a datagram between senders, in bytes.
+const MaxDatagram = 256
 
-const hearAgain = 10 * time.Millisecond // after an error, so that one that stays does not spin
+const receiveRetryDelay = 10 * time.Millisecond // after an error, so that a persistent one does not cause a busy loop
 
-// Datagrams carries notes between senders.
+// Datagrams sends and receives datagrams between senders.
 type Datagrams struct {
 	conn    *net.UDPConn
 	all     netip.AddrPort
-	fellows map[netip.AddrPort]bool
+	peers   map[netip.AddrPort]bool
 	dropped atomic.Int64
 }
 
-// OpenDatagrams listens for notes of the fellows named and writes to all of them at one address.
-func OpenDatagrams(listen, all string, fellows []string) (*Datagrams, error) {
+// OpenDatagrams listens for datagrams from the given peers and sends to all of them at one address.
+func OpenDatagrams(listen, all string, peers []string) (*Datagrams, error) {
 	at, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return nil, fmt.Errorf("address for notes: %w", err)
+		return nil, fmt.Errorf("listen address for datagrams: %w", err)
 	}
-	d := &Datagrams{fellows: map[netip.AddrPort]bool{}}
+	d := &Datagrams{peers: map[netip.AddrPort]bool{}}
 	if d.all, err = netip.ParseAddrPort(all); err != nil {
-		return nil, fmt.Errorf("address of all senders: %w", err)
+		return nil, fmt.Errorf("datagram address of all senders: %w", err)
 	}
-	for _, f := range fellows {
+	for _, f := range peers {
 		a, err := netip.ParseAddrPort(f)
 		if err != nil {
-			return nil, fmt.Errorf("address of a sender: %w", err)
+			return nil, fmt.Errorf("datagram address of a peer: %w", err)
 		}
-		d.fellows[a] = true
+		d.peers[a] = true
 	}
 	if d.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
-		return nil, fmt.Errorf("listen for notes: %w", err)
+		return nil, fmt.Errorf("listen for datagrams: %w", err)
 	}
 	return d, nil
 }
 
-// Send writes a note to all senders; one that is too long, or not taken, is dropped.
+// Send sends a datagram to all senders. One that is too long or cannot be sent is dropped.
 func (d *Datagrams) Send(text string) {
-	if len(text) > MostNote {
+	if len(text) > MaxDatagram {
 		d.dropped.Add(1)
 		return
 	}
@@ -56,20 +56,20 @@
 	}
 }
 
-// Receive hands on each note of a fellow until Close.
+// Receive calls take for each datagram from a peer until Close.
 func (d *Datagrams) Receive(take func(text string)) {
-	buf := make([]byte, MostNote+1)
+	buf := make([]byte, MaxDatagram+1)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // one that was refused, or no memory just now. Danger: to end here is to hear no fellow any more
+		if err != nil { // e.g. connection refused, or out of memory for a moment; returning would stop reception for good
 			d.dropped.Add(1)
-			time.Sleep(hearAgain)
+			time.Sleep(receiveRetryDelay)
 			continue
 		}
-		if n > MostNote || !d.fellows[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
+		if n > MaxDatagram || !d.peers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
 			d.dropped.Add(1)
 			continue
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// Dropped counts what was not sent or not taken.
+// Dropped returns the number of datagrams that were not sent or not accepted.
 func (d *Datagrams) Dropped() int64 { return d.dropped.Load() }
 
 // Close ends Receive.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -11,113 +11,113 @@
 	"time"
 )
 
-// Stage is how far an exchange came.
+// Stage is the point that an exchange reached.
 type Stage uint8
 
-// The stages at which an exchange may end. Up to NotWritten the other side has not got all of it.
+// The stages at which an exchange may end. Up to NotWritten the peer has not received the complete request.
 const (
-	NotReady     Stage = iota // called off before its first byte
-	NoRoom                    // no connection could be had: the pool is full of calls, or no descriptor came free in time
-	NotConnected              // refused, or not up in time
-	NotWritten                // broken before the last byte was written
-	Broken                    // broken after that, or the answer made no sense
-	TimedOut                  // no answer in time
-	CalledOff                 // given up while out
+	NotStarted   Stage = iota // cancelled before its first byte
+	NoCapacity                // no connection available: all connections are in use, or no descriptor became free in time
+	NotConnected              // refused, or not established in time
+	NotWritten                // connection failed before the last byte was written
+	Broken                    // connection failed after that, or the response was invalid
+	TimedOut                  // no response in time
+	Cancelled                 // cancelled while waiting for the response
 	Done
 )
 
-// Exchange is one call on a connection.
+// Exchange is one request and its response on a connection.
 type Exchange struct {
-	Ready func() bool                 // asked with the connection up, before anything is written; may take a moment
-	Still func() bool                 // asked last, right before the first byte leaves; nil for no question. It must not wait for I/O
-	Write func(w *bufio.Writer) error // comes again, with Still, for another connection where this one went bad with no byte of it out
-	Read  func(r *bufio.Reader, told func()) (keep bool, err error)
+	Authorize func() bool                 // called once the connection is established, before anything is written; may block for a moment
+	Confirm   func() bool                 // called last, right before the first byte is sent; may be nil. It must not wait for I/O
+	Write     func(w *bufio.Writer) error // called again, as is Confirm, for a new connection if a reused one failed before any byte was sent
+	Read      func(r *bufio.Reader, decided func()) (keep bool, err error)
 }
 
-// restWithin is for the rest of an answer, once Read has called told: what has come decides, and the exchange is Done whatever
-// follows. Answers are written at once, and a wait that one tells binds 100 ms later. Danger: a body that never ends would hold back
-// the wait until the patience is over, and calls would go out within it.
-const restWithin = 80 * time.Millisecond
+// responseTailTimeout limits the rest of a response after Read has called decided: the exchange is Done then.
+// Responses are written at once, and a Retry-After binds 100 ms later. An endless body would otherwise withhold
+// the Retry-After until the timeout, and calls would be sent within it.
+const responseTailTimeout = 80 * time.Millisecond
 
-// descriptorRest is between two attempts to connect while no descriptor is free. It is well below acceptRest, in which the clients'
-// listener leaves alone what it has freed.
-const descriptorRest = 2 * time.Millisecond
+// descriptorRetryInterval is the pause between two attempts to connect while no descriptor is free. It is well
+// below acceptRetryDelay, during which the clients' listener does not take the descriptors that it has freed.
+const descriptorRetryInterval = 2 * time.Millisecond
 
-// Pool keeps connections to many receivers. No exchange is ever repeated by it.
+// Pool keeps connections to many receivers. It never repeats an exchange.
 type Pool struct {
-	upWithin, idleFor time.Duration
-	most              int
-	connect           func(ctx context.Context, addr string, until time.Time) (*Conn, error)
-
-	mu   sync.Mutex
-	idle map[string][]*link // by receiver, newest last; emptied as connections close
-	left []*link            // were idle, are about to close, and nobody has their place yet
-	open int                // bounded by most; a connection counts until it is closed
+	connectTimeout, idleTimeout time.Duration
+	maxConns                    int
+	connect                     func(ctx context.Context, addr string, until time.Time) (*Conn, error)
+
+	mu      sync.Mutex
+	idle    map[string][]*poolConn // by receiver, newest last; entries are removed as connections close
+	retired []*poolConn            // idle connections that are about to close and whose slot has no successor yet
+	open    int                    // at most maxConns; a connection counts until it is closed
 }
 
-// link is one connection and its goroutine.
-type link struct {
-	pool     *Pool
-	receiver string
-	addr     string
-	conn     *Conn
-	job      *job // handed over under the pool's lock
-	closing  bool // likewise
-	followed bool // likewise: another one has its place among the open ones
-	since    time.Time
-	follows  *link         // whose place it has; nil if there was room
-	gone     chan struct{} // closed once its connection is
+// poolConn is one connection and its goroutine.
+type poolConn struct {
+	pool        *Pool
+	receiver    string
+	addr        string
+	conn        *Conn
+	job         *job // set under the pool's lock
+	closing     bool // set under the pool's lock
+	replaced    bool // set under the pool's lock: a successor has taken its slot
+	idleSince   time.Time
+	predecessor *poolConn     // the connection whose slot it has taken; nil if there was a free one
+	closed      chan struct{} // closed once the connection is closed
 }
 
 type job struct {
-	ctx   context.Context
-	addr  string
-	until time.Time
-	x     Exchange
-	stage Stage
-	done  chan struct{}
+	ctx      context.Context
+	addr     string
+	deadline time.Time
+	x        Exchange
+	stage    Stage
+	done     chan struct{}
 }
 
-// NewPool makes a pool of at most so many connections, which are kept for idleFor when idle.
-func NewPool(upWithin, idleFor time.Duration, most int) *Pool {
-	return &Pool{upWithin: upWithin, idleFor: idleFor, most: most, connect: connect, idle: map[string][]*link{}}
+// NewPool creates a pool of at most maxConns connections. Idle ones are closed after idleTimeout.
+func NewPool(connectTimeout, idleTimeout time.Duration, maxConns int) *Pool {
+	return &Pool{connectTimeout: connectTimeout, idleTimeout: idleTimeout, maxConns: maxConns, connect: connect, idle: map[string][]*poolConn{}}
 }
 
-// Do makes one exchange with a receiver and waits for its end. Ending ctx calls it off.
-func (p *Pool) Do(ctx context.Context, receiver, addr string, patience time.Duration, x Exchange) Stage {
-	j := &job{ctx: ctx, addr: addr, until: time.Now().Add(patience), x: x, done: make(chan struct{})}
+// Do makes one exchange with a receiver and waits for its end. Cancelling ctx cancels it.
+func (p *Pool) Do(ctx context.Context, receiver, addr string, timeout time.Duration, x Exchange) Stage {
+	j := &job{ctx: ctx, addr: addr, deadline: time.Now().Add(timeout), x: x, done: make(chan struct{})}
 	p.mu.Lock()
-	handed := p.hand(receiver, j)
+	assigned := p.assign(receiver, j)
 	p.mu.Unlock()
-	if !handed {
-		return NoRoom
+	if !assigned {
+		return NoCapacity
 	}
 	<-j.done
 	return j.stage
 }
 
-// hand gives the job to the newest idle connection, else to a new one. Connections to an address that the
-// receiver no longer has lead to somebody else. The lock is held.
-func (p *Pool) hand(receiver string, j *job) bool {
+// assign gives the job to the newest idle connection, or else to a new one. Idle connections to a former
+// address of the receiver are closed: they lead to another process. The caller holds the lock.
+func (p *Pool) assign(receiver string, j *job) bool {
 	for _, l := range slices.Clone(p.idle[receiver]) {
 		if l.addr != j.addr {
-			p.shut(l)
+			p.retire(l)
 		}
 	}
 	if ls := p.idle[receiver]; len(ls) > 0 {
 		l := ls[len(ls)-1]
-		p.dropIdle(l)
+		p.removeIdle(l)
 		l.job = j
 		l.wake()
 		return true
 	}
-	l := &link{pool: p, receiver: receiver, addr: j.addr, gone: make(chan struct{})}
+	l := &poolConn{pool: p, receiver: receiver, addr: j.addr, closed: make(chan struct{})}
 	switch {
-	case p.open < p.most:
+	case p.open < p.maxConns:
 		p.open++
-	case len(p.left) > 0 || p.shutOldest():
-		l.follows, p.left = p.left[0], p.left[1:]
-		l.follows.followed = true
+	case len(p.retired) > 0 || p.retireOldest():
+		l.predecessor, p.retired = p.retired[0], p.retired[1:]
+		l.predecessor.replaced = true
 	default:
 		return false
 	}
@@ -125,9 +125,9 @@
 	return true
 }
 
-// dropIdle takes a link off the list of idle ones. The lock is held.
-func (p *Pool) dropIdle(l *link) {
-	ls := slices.DeleteFunc(p.idle[l.receiver], func(o *link) bool { return o == l })
+// removeIdle removes a connection from the list of idle ones. The caller holds the lock.
+func (p *Pool) removeIdle(l *poolConn) {
+	ls := slices.DeleteFunc(p.idle[l.receiver], func(o *poolConn) bool { return o == l })
 	if len(ls) == 0 {
 		delete(p.idle, l.receiver)
 		return
@@ -135,39 +135,39 @@
 	p.idle[l.receiver] = ls
 }
 
-func (p *Pool) shutOldest() bool {
-	var oldest *link
+func (p *Pool) retireOldest() bool {
+	var oldest *poolConn
 	for _, ls := range p.idle {
-		if oldest == nil || ls[0].since.Before(oldest.since) {
+		if oldest == nil || ls[0].idleSince.Before(oldest.idleSince) {
 			oldest = ls[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.shut(oldest)
+	p.retire(oldest)
 	return true
 }
 
-// shut has an idle link's goroutine close it. The lock is held.
-func (p *Pool) shut(l *link) {
-	p.dropIdle(l)
+// retire makes the goroutine of an idle connection close it. The caller holds the lock.
+func (p *Pool) retire(l *poolConn) {
+	p.removeIdle(l)
 	l.closing = true
-	p.left = append(p.left, l)
+	p.retired = append(p.retired, l)
 	l.wake()
 }
 
-// CloseIdle closes the idle connections to a receiver. It waits for nothing.
+// CloseIdle closes the idle connections to a receiver. It does not block.
 func (p *Pool) CloseIdle(receiver string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range slices.Clone(p.idle[receiver]) {
-		p.shut(l)
+		p.retire(l)
 	}
 }
 
-// Open counts the connections.
-func (p *Pool) Open() int {
+// OpenConns returns the number of connections.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
@@ -179,70 +179,71 @@
 	defer p.mu.Unlock()
 	for _, ls := range p.idle {
 		for _, l := range slices.Clone(ls) {
-			p.shut(l)
+			p.retire(l)
 		}
 	}
 }
 
 // wake ends the wait of an idle connection's goroutine.
-func (l *link) wake() { _ = l.conn.SetReadDeadline(time.Unix(1, 0)) }
+func (l *poolConn) wake() { _ = l.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// run serves one job after the other until the connection is no good any more.
-func (l *link) run(j *job) {
-	if l.follows != nil {
-		<-l.follows.gone // danger: beside one that is still open a new connection passes the bound on descriptors
-		l.follows = nil
+// run serves one job after another until the connection can no longer be used.
+func (l *poolConn) run(j *job) {
+	if l.predecessor != nil {
+		<-l.predecessor.closed // opened while that one is still open, a new connection would exceed the descriptor limit
+		l.predecessor = nil
 	}
 	for j != nil {
 		kept := l.serve(j)
 		if kept {
-			l.rest()
+			l.park()
 		} else {
-			l.leave()
+			l.release()
 		}
 		close(j.done)
 		if !kept {
 			return
 		}
-		j = l.wait()
+		j = l.awaitJob()
 	}
-	l.leave()
+	l.release()
 }
 
-// leave closes the connection and then counts it off, before anyone hears of a job's end: it frees the slot over there.
-func (l *link) leave() {
+// release closes the connection and then frees its slot, before the end of its job is reported: closing it
+// frees the slot at the receiver.
+func (l *poolConn) release() {
 	if l.conn != nil {
 		_ = l.conn.Close()
 	}
-	close(l.gone)
+	close(l.closed)
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	l.pool.left = slices.DeleteFunc(l.pool.left, func(o *link) bool { return o == l })
-	if !l.followed {
+	l.pool.retired = slices.DeleteFunc(l.pool.retired, func(o *poolConn) bool { return o == l })
+	if !l.replaced {
 		l.pool.open--
 	}
 }
 
-// rest lists the connection as idle, before anyone hears of the job's end.
-func (l *link) rest() {
+// park adds the connection to the idle list, before the end of its job is reported.
+func (l *poolConn) park() {
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.job = nil
-	l.conn.rest()
-	l.since = time.Now()
-	_ = l.conn.SetDeadline(l.since.Add(p.idleFor))
+	l.conn.releaseBuffers()
+	l.idleSince = time.Now()
+	_ = l.conn.SetDeadline(l.idleSince.Add(p.idleTimeout))
 	p.idle[l.receiver] = append(p.idle[l.receiver], l)
 }
 
-// wait sits on an idle connection until a job comes, it gets too old or the other side closes it.
-func (l *link) wait() *job {
+// awaitJob waits on an idle connection until a job arrives, it expires or the peer closes it.
+func (l *poolConn) awaitJob() *job {
 	_, _ = l.conn.R.Peek(1)
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.job == nil && !l.closing {
-		p.shut(l)
+		p.retire(l)
 	}
 	return l.job
 }
@@ -252,95 +253,97 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// serve makes one exchange and tells whether the connection can be kept.
-func (l *link) serve(j *job) (kept bool) {
-	used := l.conn != nil && l.young() && l.conn.quiet()
+// serve makes one exchange and reports whether the connection can be kept.
+func (l *poolConn) serve(j *job) (kept bool) {
+	used := l.conn != nil && l.isFresh() && l.conn.isIdle()
 	if !used && !l.dial(j) {
 		return false
 	}
-	if j.ctx.Err() != nil || !j.x.Ready() {
-		j.stage = NotReady
+	if j.ctx.Err() != nil || !j.x.Authorize() {
+		j.stage = NotStarted
 		return true
 	}
-	kept, spoilt := l.exchange(j, used)
-	if spoilt && l.dial(j) {
+	kept, stale := l.exchange(j, used)
+	if stale && l.dial(j) {
 		kept, _ = l.exchange(j, false)
 	}
 	return kept
 }
 
-// exchange makes it on a connection that is up. spoilt: one used before went bad with nothing of the job written.
-func (l *link) exchange(j *job, used bool) (kept, spoilt bool) {
+// exchange runs the job on an established connection. stale reports that a reused connection failed before
+// anything of the job was written.
+func (l *poolConn) exchange(j *job, used bool) (kept, stale bool) {
 	conn := l.conn
 	stop := context.AfterFunc(j.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	_ = conn.SetDeadline(j.until)
-	begun, gone := false, false
-	conn.first = func() bool {
-		if !j.still() {
+	_ = conn.SetDeadline(j.deadline)
+	started, closedByPeer := false, false
+	conn.beforeFirstByte = func() bool {
+		if !j.mayStart() {
 			return false
 		}
-		// Looked at last. Danger: bytes that came while the job was written down would pass for its answer, and what is written to a
-		// connection that was closed meanwhile counts as one that may have run.
-		seen := conn.look()
-		spoilt = used && (seen != still || !l.young())
-		gone = !used && seen == ended // what it has brought may be a refusal, for which no call is needed
-		begun = !spoilt && !gone
-		return begun
+		// The state is checked last. Bytes that arrived while the job was prepared would be taken for its
+		// response, and what is written to a connection that was closed in the meantime would count as
+		// possibly executed.
+		state := conn.peekState()
+		stale = used && (state != stateIdle || !l.isFresh())
+		closedByPeer = !used && state == stateClosed // anything it has sent may be a refusal, which needs no request
+		started = !stale && !closedByPeer
+		return started
 	}
 	if err := j.x.Write(conn.W); err != nil || conn.Flush() != nil {
-		switch j.stage = NotReady; {
-		case begun:
+		switch j.stage = NotStarted; {
+		case started:
 			j.stage = NotWritten
-			conn.drop()
-		case gone:
+			conn.resetOnClose()
+		case closedByPeer:
 			j.stage = NotConnected
 		}
-		return false, spoilt
+		return false, stale
 	}
-	told := false
-	conn.last = true
+	decided := false
+	conn.readPastDeadline = true
 	keep, err := j.x.Read(conn.R, func() {
-		if !told {
-			_ = conn.SetReadDeadline(earlier(j.until, time.Now().Add(restWithin))) // called off just now, it ends no later either
+		if !decided {
+			_ = conn.SetReadDeadline(earlier(j.deadline, time.Now().Add(responseTailTimeout))) // if it was cancelled just now, it still ends no later
 		}
-		told = true
+		decided = true
 	})
-	conn.last = false
+	conn.readPastDeadline = false
 	switch {
 	case err == nil:
 		j.stage = Done
-		return keep && stop() && conn.quiet(), false
-	case told:
+		return keep && stop() && conn.isIdle(), false
+	case decided:
 		j.stage = Done
 	case j.ctx.Err() != nil && isTimeout(err):
-		j.stage = CalledOff
+		j.stage = Cancelled
 	case isTimeout(err):
 		j.stage = TimedOut
 	default:
 		j.stage = Broken
 	}
-	conn.drop()
+	conn.resetOnClose()
 	return false, false
 }
 
-// young tells whether an idle connection may be used: its goroutine may come late to close it.
-func (l *link) young() bool { return time.Since(l.since) < l.pool.idleFor }
+// isFresh reports whether an idle connection may still be used: its goroutine may be late in closing it.
+func (l *poolConn) isFresh() bool { return time.Since(l.idleSince) < l.pool.idleTimeout }
 
-// still tells whether the first byte may leave. All before it may have taken long, and so may a stop of the process: time limits on the
-// connection are looked at by timers, which come late then.
-func (j *job) still() bool {
-	return j.ctx.Err() == nil && time.Now().Before(j.until) && (j.x.Still == nil || j.x.Still())
+// mayStart reports whether the first byte may be sent. All steps before it may have taken long, and so may a
+// suspension of the process: timers enforce the deadlines of connections, and fire late then.
+func (j *job) mayStart() bool {
+	return j.ctx.Err() == nil && time.Now().Before(j.deadline) && (j.x.Confirm == nil || j.x.Confirm())
 }
 
-// dial has a new connection in the place of the old one, if any, or ends the job.
-func (l *link) dial(j *job) bool {
+// dial opens a new connection in place of the old one, if any, or ends the job.
+func (l *poolConn) dial(j *job) bool {
 	if l.conn != nil {
 		_ = l.conn.Close()
 	}
-	until := earlier(j.until, time.Now().Add(l.pool.upWithin))
+	until := earlier(j.deadline, time.Now().Add(l.pool.connectTimeout))
 	c, err := l.pool.connect(j.ctx, j.addr, until)
-	for noDescriptor(err) && restUntil(j.ctx, until) {
+	for isDescriptorShortage(err) && awaitDescriptor(j.ctx, until) {
 		c, err = l.pool.connect(j.ctx, j.addr, until)
 	}
 	l.conn = c
@@ -348,30 +351,32 @@
 	case err == nil:
 		return true
 	case j.ctx.Err() != nil:
-		j.stage = NotReady
-	case noDescriptor(err):
-		j.stage = NoRoom
+		j.stage = NotStarted
+	case isDescriptorShortage(err):
+		j.stage = NoCapacity
 	default:
 		j.stage = NotConnected
 	}
 	return false
 }
 
-// noDescriptor tells whether a connection failed for want of descriptors here. Danger: taken for a failure of the other side, two in a row
-// close a receiver that is well, and the messages for it are given up, while a crowd of clients takes each descriptor that comes free.
-func noDescriptor(err error) bool {
+// isDescriptorShortage reports whether a connection failed because this process or machine has no free
+// descriptor. Taken for a failure of the peer, two in a row would close a healthy receiver and its messages
+// would be given up while a burst of clients takes each descriptor that becomes free.
+func isDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// restUntil waits descriptorRest, or until the time is up or ctx ends, which make it false.
-func restUntil(ctx context.Context, until time.Time) bool {
-	if !time.Now().Add(descriptorRest).Before(until) {
+// awaitDescriptor waits for descriptorRetryInterval. It returns false if the deadline passes or ctx ends
+// first.
+func awaitDescriptor(ctx context.Context, until time.Time) bool {
+	if !time.Now().Add(descriptorRetryInterval).Before(until) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(descriptorRest):
+	case <-time.After(descriptorRetryInterval):
 		return true
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -10,65 +10,65 @@
 )
 
 const (
-	acceptRest  = 20 * time.Millisecond   // after a failed accept; descriptors may be short
-	lastLook    = 2 * time.Millisecond    // for what was written to a connection about to be closed, and for one that was just opened
-	lastWords   = 100 * time.Millisecond  // for a client to take its last answer and to end, and for the listener's backlog
-	servedPart  = 2                       // of the clients' bound, one place in so many is for served ones that are idle
-	turnPart    = 8                       // and one in so many for those on their way out
-	mostUnread  = 1 << 20                 // bytes read away meanwhile
-	graceTime   = 100 * time.Millisecond  // in which a new client or a new command is not driven out; usual ones are through by then
-	firstTime   = 2 * time.Second         // for a new client to say something
-	idleTime    = 4 * time.Second         // for one that was served to say more; it comes back on a new connection
-	commandTime = 700 * time.Millisecond  // for the rest of a command once begun, where places are short or the process ends
-	slowTime    = 2500 * time.Millisecond // the same otherwise: some clients take 2 s to write. Bad ones are owed an end 3 s after they came
-	answerTime  = time.Second             // for an answer to be written; clients leave sooner
-	placeLook   = 10 * time.Millisecond   // between looks whether somebody may be let go
+	acceptRetryDelay    = 20 * time.Millisecond   // after a failed accept; descriptors may be scarce
+	lastPeekTime        = 2 * time.Millisecond    // to read what was sent on a connection that is about to be closed, and to accept one that has just been opened
+	lingerTime          = 100 * time.Millisecond  // for a client to read its last reply and close, and for accepting the listener's backlog
+	idleServedFraction  = 2                       // one in this many of the limit is for idle clients that have been served
+	closingFraction     = 8                       // and one in this many for those being closed
+	maxLingerBytes      = 1 << 20                 // bytes discarded during a lingering close
+	evictionGrace       = 100 * time.Millisecond  // during which a new client or command is not evicted; usual ones are finished by then
+	firstCommandTimeout = 2 * time.Second         // for a new client to send its first command
+	idleTimeout         = 4 * time.Second         // for a served client to send another command; it reconnects later
+	commandTimeout      = 700 * time.Millisecond  // for the rest of a command, when slots are scarce or the process is ending
+	slowCommandTimeout  = 2500 * time.Millisecond // the same otherwise: some clients take 2 s to write. Invalid ones must be closed 3 s after connecting
+	replyTimeout        = time.Second             // for a reply to be written; clients give up sooner
+	admitRetryInterval  = 10 * time.Millisecond   // between checks whether a client can be evicted
 )
 
-// Server takes clients' connections, a goroutine each.
+// Server accepts connections of clients and runs one goroutine for each.
 type Server struct {
-	listener *net.TCPListener
-	handle   func(c *Client)
-	most     int // connections; one more may be in hand, waiting for a place
-	stay     int // of them, those that are not on their way out
-	served   int // most served ones that are idle
+	listener      *net.TCPListener
+	handle        func(c *Client)
+	maxClients    int // limit of connections; one more may be accepted and waiting for admission
+	maxActive     int // limit of those that are not being closed
+	maxIdleServed int // limit of idle ones that have been served
 
-	grace, first, idle, command, slow, words time.Duration // graceTime, firstTime, idleTime, commandTime, slowTime, lastWords
+	grace, first, idle, command, slow, linger time.Duration // evictionGrace, firstCommandTimeout, idleTimeout, commandTimeout, slowCommandTimeout, lingerTime
 
-	mu      sync.Mutex
-	clients map[*Client]struct{} // emptied as connections close, bounded by most
-	going   int                  // of them, those that leave
-	closing bool
-	cut     bool          // nothing more is read
-	freed   chan struct{} // a place; one word is enough, for one goroutine waits
+	mu             sync.Mutex
+	clients        map[*Client]struct{} // at most maxClients; entries are removed as connections close
+	closingClients int                  // those of them that are being closed
+	closing        bool
+	aborted        bool          // nothing more is read
+	freed          chan struct{} // signals a free slot; capacity 1 suffices for the one goroutine that waits
 
 	accepting sync.WaitGroup // Serve
-	done      sync.WaitGroup // clients; added to while accepting only
+	done      sync.WaitGroup // clients; incremented during accepting only
 
-	crowd Crowd
-	edge  func(c *Client, at moment) // for tests: bytes may come right then; nil for nothing
+	stats        ClientStats
+	onCloseEvent func(c *Client, at closeEvent) // test hook, called where input may arrive during a close; may be nil
 }
 
-// Crowd counts clients' connections: those open, and what has become of others since the start.
-type Crowd struct {
-	Open, Taken   int
-	Idle, Served  int // of those open
-	TurnedAway    int // there was no place for them until the process ended
-	LetGoUnserved int // for a newer one, before they said anything of use
-	LetGoServed   int
-	Quiet         int // said nothing in time
-	Begun         int // did not end a command in time
-	Crossed       int // wrote something that crossed our close, and was not carried out
+// ClientStats holds the number of open client connections and counts those closed since the start, by cause.
+type ClientStats struct {
+	Open, Accepted  int
+	Idle, Served    int // among the open ones
+	OverLimit       int // admitted above the limit because the process was ending
+	EvictedUnserved int // to admit a newer client, before they sent a valid command
+	EvictedServed   int
+	IdleTimeouts    int // sent nothing in time
+	CommandTimeouts int // did not complete a command in time
+	WroteAfterClose int // sent data after the server had closed its side; it was not executed
 }
 
-// Crowd tells how it stands.
-func (s *Server) Crowd() Crowd {
+// Stats returns the current statistics.
+func (s *Server) Stats() ClientStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.crowd
+	c := s.stats
 	c.Open = len(s.clients)
 	for o := range s.clients {
-		if o.stage == waiting {
+		if o.stage == awaitingCommand {
 			c.Idle++
 		}
 		if o.served {
@@ -78,23 +78,23 @@
 	return c
 }
 
-// Listen opens the clients' address.
-func Listen(addr string, most int, handle func(c *Client)) (*Server, error) {
+// Listen opens the address for clients.
+func Listen(addr string, maxClients int, handle func(c *Client)) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
-	return &Server{listener: l.(*net.TCPListener), handle: handle, most: most, stay: most - most/turnPart, served: max(1, most/servedPart),
-		grace: graceTime, first: firstTime, idle: idleTime, command: commandTime, slow: slowTime, words: lastWords,
+	return &Server{listener: l.(*net.TCPListener), handle: handle, maxClients: maxClients, maxActive: maxClients - maxClients/closingFraction, maxIdleServed: max(1, maxClients/idleServedFraction),
+		grace: evictionGrace, first: firstCommandTimeout, idle: idleTimeout, command: commandTimeout, slow: slowCommandTimeout, linger: lingerTime,
 		clients: map[*Client]struct{}{}, freed: make(chan struct{}, 1)}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve accepts until Close, which has it take what stands in the backlog first, or until ctx ends.
+// Serve accepts connections until ctx ends or Close is called, which first has it accept the backlog.
 func (s *Server) Serve(ctx context.Context) error {
-	if !s.accepts() {
+	if !s.startAccepting() {
 		return nil
 	}
 	defer s.accepting.Done()
@@ -102,119 +102,120 @@
 		c, err := s.listener.Accept()
 		switch {
 		case err == nil:
-			s.begin(ctx, c)
+			s.startClient(ctx, c)
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case isTimeout(err): // Close has set the limit
-			s.backlog(ctx)
+		case isTimeout(err): // set by Close
+			s.acceptBacklog(ctx)
 			return nil
-		case !s.short(ctx):
+		case !s.handleAcceptError(ctx):
 			return nil
 		}
 	}
 }
 
-// accepts tells whether it is not too late to begin.
-func (s *Server) accepts() bool {
+// startAccepting returns false if the server is already closing.
+func (s *Server) startAccepting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing {
 		return false
 	}
-	s.accepting.Add(1) // under the lock: Close waits for it, or we see that it is closing
+	s.accepting.Add(1) // under the lock, so that either Close waits for it or closing is seen here
 	return true
 }
 
-// backlog takes the connections that the kernel has accepted and we have not. Danger: they are reset with the listener, and
-// their clients have written to them. What comes between the last look and the close still is, some microseconds; a
-// crowd that never ends is cut off after lastWords.
-func (s *Server) backlog(ctx context.Context) {
-	for end := time.Now().Add(lastWords); time.Now().Before(end); {
-		_ = s.listener.SetDeadline(time.Now().Add(lastLook)) // anew for each: past it nothing is accepted, whatever stands there
+// acceptBacklog accepts the connections that are still in the kernel's backlog: they would be reset with the
+// listener, and their clients have already written to them. Those that arrive in the microseconds between the
+// last accept and the close still are; an endless stream of connections is cut off after lingerTime.
+func (s *Server) acceptBacklog(ctx context.Context) {
+	for end := time.Now().Add(lingerTime); time.Now().Before(end); {
+		_ = s.listener.SetDeadline(time.Now().Add(lastPeekTime)) // for each accept: past the deadline none succeeds, whatever the backlog holds
 		c, err := s.listener.Accept()
 		switch {
 		case err == nil:
-			s.begin(ctx, c)
-		case isTimeout(err) || !s.short(ctx):
+			s.startClient(ctx, c)
+		case isTimeout(err) || !s.handleAcceptError(ctx):
 			return
 		}
 	}
 }
 
-// short makes room after a failed accept, most likely for want of descriptors. Danger: clients take each one that comes free,
-// and discovery, receivers and the spool get none. So a part of them goes at once and nobody is accepted for a moment. False once
-// ctx has ended.
-func (s *Server) short(ctx context.Context) bool {
+// handleAcceptError frees descriptors after a failed accept, most likely for lack of them. Clients would take
+// each one that becomes free, leaving none for discovery, receivers and the spool, so a fraction of the
+// clients is evicted at once and accepting pauses briefly. It returns false if ctx has ended.
+func (s *Server) handleAcceptError(ctx context.Context) bool {
 	s.mu.Lock()
-	for range max(1, len(s.clients)/turnPart) {
-		s.hurry()
-		s.letOneGo()
+	for range max(1, len(s.clients)/closingFraction) {
+		s.cutOldestLinger()
+		s.evictOne()
 	}
 	s.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(acceptRest):
+	case <-time.After(acceptRetryDelay):
 		return true
 	}
 }
 
-// begin sets a new connection going once there is a place for it.
-func (s *Server) begin(ctx context.Context, nc net.Conn) {
+// startClient admits a new connection, waiting for a slot if necessary, and starts its goroutine.
+func (s *Server) startClient(ctx context.Context, nc net.Conn) {
 	c := &Client{Conn: newConn(nc), server: s}
-	s.count(&s.crowd.Taken)
-	s.place(ctx, c)
+	s.increment(&s.stats.Accepted)
+	s.awaitAdmission(ctx, c)
 	go func() {
 		defer s.done.Done()
-		defer s.forget(c)
+		defer s.removeClient(c)
 		s.handle(c)
 	}()
 }
 
-// place waits for a place, and meanwhile has others make room: a new connection that is closed unanswered may be a message lost.
-// It waits for clients that were just accepted or have just begun a command, graceTime about; later ones wait in
-// the kernel's backlog. Once ctx has ended, and the process with it, a place too many does no harm.
-func (s *Server) place(ctx context.Context, c *Client) {
+// awaitAdmission waits for a slot and evicts other clients meanwhile: closing a new connection without a reply
+// may lose a message. It waits for clients that were just accepted or have just begun a command, about
+// evictionGrace; later connections wait in the kernel's backlog. Once ctx has ended, and the process with it,
+// exceeding the limit does no harm.
+func (s *Server) awaitAdmission(ctx context.Context, c *Client) {
 	for !s.admit(c, ctx.Err() != nil) {
 		select {
 		case <-ctx.Done():
 		case <-s.freed:
-		case <-time.After(placeLook):
+		case <-time.After(admitRetryInterval):
 		}
 	}
 }
 
-// admit counts a client in, if there is a place or it is to come in anyway.
-func (s *Server) admit(c *Client, anyway bool) bool {
+// admit registers a client if there is a slot or force is set.
+func (s *Server) admit(c *Client, force bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.clients)-s.going >= s.stay {
-		s.letOneGo()
+	if len(s.clients)-s.closingClients >= s.maxActive {
+		s.evictOne()
 	}
-	if len(s.clients) >= s.most {
-		s.hurry()
-		if !anyway {
+	if len(s.clients) >= s.maxClients {
+		s.cutOldestLinger()
+		if !force {
 			return false
 		}
-		s.crowd.TurnedAway++
+		s.stats.OverLimit++
 	}
 	s.clients[c] = struct{}{}
 	s.done.Add(1)
-	c.since = time.Now()
-	c.at = c.since
+	c.idleSince = time.Now()
+	c.stageSince = c.idleSince
 	if s.closing {
-		c.goes()
+		c.markClosing()
 	}
 	return true
 }
 
-// forget closes a connection. It holds its place until it is closed.
-func (s *Server) forget(c *Client) {
+// removeClient closes a connection. It occupies its slot until it is closed.
+func (s *Server) removeClient(c *Client) {
 	_ = c.Conn.Close()
 	s.mu.Lock()
 	delete(s.clients, c)
-	if c.leave {
-		s.going--
+	if c.closing {
+		s.closingClients--
 	}
 	s.mu.Unlock()
 	select {
@@ -223,84 +224,86 @@
 	}
 }
 
-// hurry closes the connection that is being read away longest, if any is. The lock is held.
-func (s *Server) hurry() {
+// cutOldestLinger ends the oldest lingering close, if any. The caller holds the lock.
+func (s *Server) cutOldestLinger() {
 	var oldest *Client
 	for c := range s.clients {
-		if c.stage == parting && !c.hasty && (oldest == nil || c.at.Before(oldest.at)) {
+		if c.stage == lingering && !c.lingerCut && (oldest == nil || c.stageSince.Before(oldest.stageSince)) {
 			oldest = c
 		}
 	}
 	if oldest != nil {
-		oldest.hasty = true
+		oldest.lingerCut = true
 		_ = oldest.SetReadDeadline(time.Now())
 	}
 }
 
-// letOneGo lets go of the client that can best be spared, if any can: first of those that never said anything of use or were slow
-// to end a command, the longest so, or a crowd of them would drive the others out; then of idle ones that were served; then of the
-// others that have begun a command. Newcomers go last: where the house is full of served ones, they would else drive
-// out each other before they can speak. The lock is held.
-func (s *Server) letOneGo() {
+// evictOne evicts the most expendable client, if any. First come those that never sent a valid command or are
+// slow to complete one, longest first, since a crowd of them would displace the others; then idle ones that
+// were served; then the others that have begun a command. New clients come last: where served ones hold all
+// slots, they would otherwise displace each other before they can send a command. The caller holds the lock.
+func (s *Server) evictOne() {
 	now := time.Now()
 	var first *Client
 	for c := range s.clients {
-		if c.rank(now) != stays && (first == nil || c.goesBefore(first, now)) {
+		if c.evictionRank(now) != notEvictable && (first == nil || c.evictedBefore(first, now)) {
 			first = c
 		}
 	}
 	if first != nil {
-		s.letGo(first)
+		s.evict(first)
 	}
 }
 
-// letGo has a connection make room for others. The lock is held.
-func (s *Server) letGo(c *Client) {
+// evict closes a connection to free its slot. The caller holds the lock.
+func (s *Server) evict(c *Client) {
 	if c.served {
-		s.crowd.LetGoServed++
+		s.stats.EvictedServed++
 	} else {
-		s.crowd.LetGoUnserved++
+		s.stats.EvictedUnserved++
 	}
-	c.dismiss()
-	if c.stage == begun { // the rest of its command is not waited for; an answer is
+	c.drain()
+	if c.stage == inCommand { // the rest of its command is not awaited; a reply is
 		_ = c.SetReadDeadline(time.Now())
 	}
 }
 
-func (s *Server) count(n *int) {
+func (s *Server) increment(n *int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*n++
 }
 
-// Dismiss closes every connection as soon as it waits for a command; one that comes from now on can say one.
-func (s *Server) Dismiss() {
+// Drain closes every connection as soon as it waits for a command. One that connects from now on may still
+// send one.
+func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing = true
 	for c := range s.clients {
-		c.dismiss()
+		c.drain()
 	}
 }
 
-// Cut ends what is left, also commands that have not come whole and answers that are not taken. Those that part do so in time.
-func (s *Server) Cut() {
+// Abort ends the remaining connections, including those with incomplete commands or unread replies. Lingering
+// closes end by their own deadline.
+func (s *Server) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut = true
+	s.aborted = true
 	now := time.Now()
 	for c := range s.clients {
-		if c.stage != parting {
+		if c.stage != lingering {
 			_ = c.SetReadDeadline(now)
-			_ = c.SetWriteDeadline(now.Add(lastWords))
+			_ = c.SetWriteDeadline(now.Add(lingerTime))
 		}
 	}
 }
 
 // Close stops accepting and waits until all connections are closed.
 func (s *Server) Close() {
-	s.Dismiss()
-	_ = s.listener.SetDeadline(time.Now().Add(lastLook)) // wakes Serve
+	s.Drain()
+	_ = s.listener.SetDeadline(time.Now().Add(lastPeekTime)) // wakes Serve
 	s.accepting.Wait()
 	_ = s.listener.Close()
 	s.done.Wait()
--- a/internal/verdicts/clock.go
+++ b/internal/verdicts/clock.go
@@ -1,40 +1,40 @@
 package verdicts
 
-// clock is what is known of another sender's clock, by echoes alone. A letter that carries an echo left after its receiver's own stamp
-// did, so the moment of its stamp has a lower bound on the receiver's clock; a later letter's travel is bounded by that.
+// clock estimates another sender's clock from echoes alone. A message that carries an echo was sent after the receiver's own echoed
+// timestamp, so its send time has a lower bound on the receiver's clock, and that bounds the transit time of later messages.
 type clock struct {
-	incarnation uint64
-	known       bool
-	ahead       int64 // at least: our clock less theirs
-	since       int64 // of our clock, when that was found
-	stamp, came int64 // their newest stamp, and when it came
+	incarnation                uint64
+	known                      bool
+	offset                     int64 // lower bound of our clock minus theirs
+	offsetAt                   int64 // when it was found, by our clock
+	lastSentAt, lastReceivedAt int64 // their latest timestamp, and when it arrived
 }
 
-// hear takes in the stamps of a letter; travel is how long it may have been on its way, -1 for not known.
-func (c *clock) hear(now int64, own uint64, m Msg) (travel int64) {
+// update evaluates the timestamps of a peer message. transit is an upper bound on the time since it was sent, or -1 if unknown.
+func (c *clock) update(now int64, own uint64, m Msg) (transit int64) {
 	if m.Incarnation != c.incarnation {
 		*c = clock{incarnation: m.Incarnation}
 	}
-	if c.came == 0 || m.Stamp > c.stamp {
-		c.stamp, c.came = m.Stamp, now
+	if c.lastReceivedAt == 0 || m.SentAt > c.lastSentAt {
+		c.lastSentAt, c.lastReceivedAt = m.SentAt, now
 	}
-	if m.EchoOf == own && m.Echo > 0 && m.Held >= 0 && m.Echo+m.Held <= now+m.Held/drift {
-		if ahead := m.Echo + m.Held - m.Held/drift - m.Stamp; !c.known || ahead > c.at(now) {
-			c.known, c.ahead, c.since = true, ahead, now
+	if m.EchoOf == own && m.Echo > 0 && m.EchoDelay >= 0 && m.Echo+m.EchoDelay <= now+m.EchoDelay/driftDivisor {
+		if offset := m.Echo + m.EchoDelay - m.EchoDelay/driftDivisor - m.SentAt; !c.known || offset > c.offsetNow(now) {
+			c.known, c.offset, c.offsetAt = true, offset, now
 		}
 	}
 	if !c.known {
 		return -1
 	}
-	return max(0, now-(c.at(now)+m.Stamp))
+	return max(0, now-(c.offsetNow(now)+m.SentAt))
 }
 
-// at is the bound now: clocks may have drifted since it was found.
-func (c *clock) at(now int64) int64 { return c.ahead - (now-c.since)/drift }
+// offsetNow is the bound at the given time; clocks may have drifted since it was found.
+func (c *clock) offsetNow(now int64) int64 { return c.offset - (now-c.offsetAt)/driftDivisor }
 
-// echo puts what the other wants to know into a letter.
+// echo sets the echo of the other sender's latest timestamp in a message.
 func (c *clock) echo(now int64, m *Msg) {
-	if c.came > 0 {
-		m.EchoOf, m.Echo, m.Held = c.incarnation, c.stamp, now-c.came
+	if c.lastReceivedAt > 0 {
+		m.EchoOf, m.Echo, m.EchoDelay = c.incarnation, c.lastSentAt, now-c.lastReceivedAt
 	}
 }
--- a/internal/verdicts/explore_test.go
+++ b/internal/verdicts/explore_test.go
@@ -16,121 +16,121 @@
 	"ravenlink/internal/post"
 )
 
-var deep = flag.Bool("deep", false, "explore deeper and walk more ways (minutes)")
+var deep = flag.Bool("deep", false, "explore deeper and run more walks (minutes)")
 
-// world is three senders with clocks of their own, one place, and every directed link a line of letters. Its truth is when each version was
-// seen, and which versions each sender knows to be over.
+// world is three senders with their own clocks, one subject, and a message queue for every directed link. Its reference is when each
+// version was observed, and which versions each sender knows to be withdrawn.
 type world struct {
-	names  []string
-	ts     []*Table
-	now    int64
-	links  map[[2]int][]post.Letter[Msg]
-	late   map[[2]int]post.Letter[Msg] // the latest letter carried, for one more time
-	cut    bool                        // the third from the others
-	bare   bool                        // only letters with facts are carried: comparisons have their time at the end of each way
-	left   map[string]int              // how often each event may still be
-	seen   map[string]int64            // of origin/incarnation/version
-	over   []map[string]uint64         // of origin/incarnation: the newest version known to be withdrawn
-	snap   []byte                      // of the second sender, when time last passed
-	snapAt int64
-	faults faults
+	names      []string
+	tables     []*Table
+	now        int64
+	links      map[[2]int][]post.PeerMessage[Msg]
+	delivered  map[[2]int]post.PeerMessage[Msg] // the last message delivered, for a duplicate
+	cut        bool                             // between the third sender and the others
+	factsOnly  bool                             // deliver only messages with facts; exchanges happen at the end of each walk
+	remaining  map[string]int                   // how often each event may still occur
+	seen       map[string]int64                 // observation time by origin, incarnation and version
+	withdrawn  []map[string]uint64              // by origin and incarnation: the newest version known to be withdrawn
+	snapshot   []byte                           // of the second sender, when time last advanced
+	snapshotAt int64
+	faults     faults
 }
 
-// faults planted in a sender.
+// faults are injected into a sender.
 type faults struct {
-	ageless, forgetful, mute, careless, raising, flattering bool
+	dropAges, dropWithdrawals, dropDigests, ignoreVersions, clearWithdrawn, freshTimestamps bool
 }
 
 func (w *world) clock(i int) int64 { return w.now + int64(i)*1_000_000_000 }
 
 func newWorld(f faults) *world {
-	w := &world{names: []string{"a", "b", "c"}, now: 1e6, links: map[[2]int][]post.Letter[Msg]{}, late: map[[2]int]post.Letter[Msg]{},
-		left: map[string]int{"down": 1, "back": 1, "withdraw": 1, "crash": 1, "cut": 1, "heal": 1, "later": 3, "again": 1},
-		seen: map[string]int64{}, over: make([]map[string]uint64, 3), faults: f}
+	w := &world{names: []string{"a", "b", "c"}, now: 1e6, links: map[[2]int][]post.PeerMessage[Msg]{}, delivered: map[[2]int]post.PeerMessage[Msg]{},
+		remaining: map[string]int{"down": 1, "back": 1, "withdraw": 1, "crash": 1, "cut": 1, "heal": 1, "later": 3, "again": 1},
+		seen:      map[string]int64{}, withdrawn: make([]map[string]uint64, 3), faults: f}
 	for i := range w.names {
-		w.ts = append(w.ts, nil)
+		w.tables = append(w.tables, nil)
 		w.start(i, 1)
 	}
-	w.settle(1e6) // their clocks are acquainted
-	w.bare = true
+	w.settle(1e6) // until their clocks are known
+	w.factsOnly = true
 	return w
 }
 
 func (w *world) start(i int, incarnation uint64) {
-	timing, room := Usual()
-	w.ts[i], w.over[i] = New(w.names[i], incarnation, timing, room), map[string]uint64{}
+	timing, room := Defaults()
+	w.tables[i], w.withdrawn[i] = New(w.names[i], incarnation, timing, room), map[string]uint64{}
 	v := viewOf(w.names[i], w.names)
 	for k := range v.Members {
 		v.Members[k].Incarnation = 2 // as if the view already knew of every start to come
 	}
 	v.Members[i].Incarnation = incarnation
-	w.ts[i].View(w.clock(i), v)
+	w.tables[i].SetView(w.clock(i), v)
 }
 
-func (w *world) post(from int, letters []post.Letter[Msg]) {
-	for _, l := range letters {
-		to := strings.Index("abc", l.To)
-		if w.cut && (from == 2 || to == 2) || w.faults.mute && len(l.Msg.Digest) > 0 || w.bare && len(l.Msg.Facts) == 0 {
+func (w *world) post(from int, messages []post.PeerMessage[Msg]) {
+	for _, m := range messages {
+		to := strings.Index("abc", m.To)
+		if w.cut && (from == 2 || to == 2) || w.faults.dropDigests && len(m.Msg.Digest) > 0 || w.factsOnly && len(m.Msg.Facts) == 0 {
 			continue
 		}
 		link := [2]int{from, to}
-		w.links[link] = append(w.links[link], l)
-		w.links[link] = w.links[link][max(0, len(w.links[link])-2):] // a bounded queue: the oldest goes
+		w.links[link] = append(w.links[link], m)
+		w.links[link] = w.links[link][max(0, len(w.links[link])-2):] // a bounded queue drops the oldest
 	}
 }
 
-func (w *world) note(i int, version uint64, withdrawn bool) {
-	origin := fmt.Sprint(w.names[i], w.ts[i].incarnation)
+func (w *world) recordVersion(i int, version uint64, withdrawn bool) {
+	origin := fmt.Sprint(w.names[i], w.tables[i].incarnation)
 	if withdrawn {
-		w.over[i][origin] = version
+		w.withdrawn[i][origin] = version
 	}
 	w.seen[fmt.Sprint(origin, version)] = w.now
 }
 
-func (w *world) own(i int, k Kind) {
-	w.post(i, w.ts[i].Own(w.clock(i), Fact{Subject: place, Kind: k}))
-	w.note(i, w.ts[i].version, false)
+func (w *world) observe(i int, k Kind) {
+	w.post(i, w.tables[i].Observe(w.clock(i), Fact{Subject: testSubject, Kind: k}))
+	w.recordVersion(i, w.tables[i].version, false)
 }
 
-func (w *world) carry(link [2]int, l post.Letter[Msg]) {
+func (w *world) deliver(link [2]int, pm post.PeerMessage[Msg]) {
 	from, to := link[0], link[1]
-	t := w.ts[to]
-	m := l.Msg
-	m.Facts = append([]wire(nil), m.Facts...)
+	t := w.tables[to]
+	m := pm.Msg
+	m.Facts = append([]wireFact(nil), m.Facts...)
 	for i := range m.Facts {
-		if w.faults.ageless {
+		if w.faults.dropAges {
 			m.Facts[i].Age, m.Facts[i].Slack = 0, 0
 		}
-		if w.faults.raising {
+		if w.faults.clearWithdrawn {
 			m.Facts[i].Withdrawn = false
 		}
 	}
-	if w.faults.flattering {
-		m.Stamp = w.clock(from)
+	if w.faults.freshTimestamps {
+		m.SentAt = w.clock(from)
 	}
-	if w.faults.careless && len(m.Facts) > 0 {
-		t.sweep(func(h *held) bool { return h.Origin == t.self })
+	if w.faults.ignoreVersions && len(m.Facts) > 0 {
+		t.retain(func(h *record) bool { return h.Origin == t.self })
 	}
-	news, letters := t.Heard(w.clock(to), w.names[from], m)
-	for _, f := range news {
+	changes, messages := t.Receive(w.clock(to), w.names[from], m)
+	for _, f := range changes {
 		if f.Withdrawn {
-			w.over[to][fmt.Sprint(f.Origin, f.Incarnation)] = f.Version
+			w.withdrawn[to][fmt.Sprint(f.Origin, f.Incarnation)] = f.Version
 		}
 	}
-	w.post(to, letters)
+	w.post(to, messages)
 }
 
 func (w *world) tick(i int) {
-	w.post(i, w.ts[i].Tick(w.clock(i)))
-	if w.faults.forgetful {
-		w.ts[i].sweep(func(h *held) bool { return !h.Withdrawn })
+	w.post(i, w.tables[i].Tick(w.clock(i)))
+	if w.faults.dropWithdrawals {
+		w.tables[i].retain(func(h *record) bool { return !h.Withdrawn })
 	}
 }
 
-// settle: the links carry all at once, for a while.
+// settle ticks all senders for a while and delivers all messages at once.
 func (w *world) settle(span int64) {
 	for end := w.now + span; w.now < end; w.now += 100_000 {
-		for i := range w.ts {
+		for i := range w.tables {
 			w.tick(i)
 		}
 		for busy, rounds := true, 0; busy && rounds < 20; rounds++ {
@@ -138,9 +138,9 @@
 			for _, link := range allLinks {
 				line := w.links[link]
 				w.links[link] = nil
-				for _, l := range line {
+				for _, m := range line {
 					busy = true
-					w.carry(link, l)
+					w.deliver(link, m)
 				}
 			}
 		}
@@ -149,14 +149,14 @@
 
 var allLinks = [][2]int{{0, 1}, {0, 2}, {1, 0}, {1, 2}, {2, 0}, {2, 1}}
 
-// events that can happen now.
+// Events returns the events that can happen now.
 func (w *world) Events() []string {
 	var es []string
 	for _, e := range []string{"down", "back", "withdraw", "crash", "cut", "heal", "later"} {
-		ok := w.left[e] > 0
+		ok := w.remaining[e] > 0
 		switch e {
 		case "withdraw":
-			ok = ok && w.left["down"] == 0
+			ok = ok && w.remaining["down"] == 0
 		case "heal":
 			ok = ok && w.cut
 		}
@@ -168,32 +168,32 @@
 		if len(w.links[link]) > 0 {
 			es = append(es, fmt.Sprintf("%d", i))
 		}
-		if _, ok := w.late[link]; ok && w.left["again"] > 0 {
+		if _, ok := w.delivered[link]; ok && w.remaining["again"] > 0 {
 			es = append(es, fmt.Sprintf("again%d", i))
 		}
 	}
 	return es
 }
 
-func (w *world) Do(e string) {
-	w.left[e]--
+func (w *world) Apply(e string) {
+	w.remaining[e]--
 	switch e {
 	case "down":
-		w.own(0, Down)
+		w.observe(0, Down)
 	case "back":
-		w.own(1, Back)
+		w.observe(1, Recovered)
 	case "withdraw":
-		was := w.ts[0].version
-		letters := w.ts[0].Withdraw(w.clock(0), place, Down)
-		if w.ts[0].version > was {
-			w.note(0, w.ts[0].version, true)
+		was := w.tables[0].version
+		messages := w.tables[0].Withdraw(w.clock(0), testSubject, Down)
+		if w.tables[0].version > was {
+			w.recordVersion(0, w.tables[0].version, true)
 		}
-		w.post(0, letters)
+		w.post(0, messages)
 	case "crash":
 		w.start(1, 2)
-		if w.snap != nil {
-			if _, err := w.ts[1].Restore(w.clock(1), w.snap, w.now-w.snapAt); err != nil {
-				panic(err) // a whole snapshot is always taken
+		if w.snapshot != nil {
+			if _, err := w.tables[1].Restore(w.clock(1), w.snapshot, w.now-w.snapshotAt); err != nil {
+				panic(err) // a complete snapshot always restores
 			}
 		}
 		for _, link := range allLinks {
@@ -207,56 +207,56 @@
 		w.cut = false
 	case "later":
 		w.now += 4_000_000
-		for i := range w.ts {
+		for i := range w.tables {
 			w.tick(i)
 		}
-		w.snap, _ = w.ts[1].Snapshot(w.clock(1))
-		w.snapAt = w.now
+		w.snapshot, _ = w.tables[1].Snapshot(w.clock(1))
+		w.snapshotAt = w.now
 	default:
 		again := strings.HasPrefix(e, "again")
 		link := allLinks[e[len(e)-1]-'0']
 		if again {
-			w.left["again"]--
-			w.carry(link, w.late[link])
+			w.remaining["again"]--
+			w.deliver(link, w.delivered[link])
 			return
 		}
-		l := w.links[link][0]
+		m := w.links[link][0]
 		w.links[link] = w.links[link][1:]
-		if len(l.Msg.Facts) > 0 {
-			w.late[link] = l
+		if len(m.Msg.Facts) > 0 {
+			w.delivered[link] = m
 		}
-		w.carry(link, l)
+		w.deliver(link, m)
 	}
 }
 
-// wrong names what must never be.
-func (w *world) Wrong() string {
-	for i, t := range w.ts {
-		for _, h := range t.subjects[place] {
-			if !h.counts(w.clock(i)) {
+// Violation describes a violated invariant, or returns an empty string.
+func (w *world) Violation() string {
+	for i, t := range w.tables {
+		for _, h := range t.subjects[testSubject] {
+			if !h.active(w.clock(i)) {
 				continue
 			}
 			origin := fmt.Sprint(h.Origin, h.Incarnation)
-			if w.now-w.seen[fmt.Sprint(origin, h.Version)] >= h.Kind.Greatest() {
-				return "a fact counts beyond its greatest age"
+			if w.now-w.seen[fmt.Sprint(origin, h.Version)] >= h.Kind.MaxAge() {
+				return "a fact is active beyond its maximum age"
 			}
-			if h.Version <= w.over[i][origin] {
-				return "a withdrawn fact came back"
+			if h.Version <= w.withdrawn[i][origin] {
+				return "a withdrawn fact is active again"
 			}
 		}
 	}
 	return ""
 }
 
-func (w *world) End() string {
-	w.cut, w.bare = false, false
+func (w *world) HealAndCheck() string {
+	w.cut, w.factsOnly = false, false
 	w.settle(3e6)
-	if bad := w.Wrong(); bad != "" {
+	if bad := w.Violation(); bad != "" {
 		return bad
 	}
-	for i := range w.ts {
+	for i := range w.tables {
 		if !equalFacts(w.facts(i), w.facts(0)) {
-			return "senders that are connected do not agree"
+			return "connected senders disagree"
 		}
 	}
 	return ""
@@ -265,40 +265,41 @@
 func equalFacts(a, b []string) bool { return strings.Join(a, " ") == strings.Join(b, " ") }
 
 func (w *world) facts(i int) (all []string) {
-	for _, h := range w.ts[i].subjects[place] {
-		if h.counts(w.clock(i)) {
+	for _, h := range w.tables[i].subjects[testSubject] {
+		if h.active(w.clock(i)) {
 			all = append(all, fmt.Sprint(h.Origin, h.Incarnation, h.Version, h.Kind))
 		}
 	}
 	return all
 }
 
-// print of a state: two that print alike go on alike.
-func (w *world) Print() uint64 {
+// Fingerprint hashes a state: states with equal fingerprints continue alike.
+func (w *world) Fingerprint() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, w.now, w.cut, w.left["down"], w.left["back"], w.left["withdraw"], w.left["crash"], w.left["heal"], w.left["cut"], w.left["again"])
-	for i, t := range w.ts {
-		for _, e := range t.subjects[place] {
-			fmt.Fprint(h, i, e.Fact, e.seen, e.surely, e.copies)
+	fmt.Fprint(h, w.now, w.cut, w.remaining["down"], w.remaining["back"], w.remaining["withdraw"], w.remaining["crash"],
+		w.remaining["heal"], w.remaining["cut"], w.remaining["again"])
+	for i, t := range w.tables {
+		for _, e := range t.subjects[testSubject] {
+			fmt.Fprint(h, i, e.Fact, e.latestSeen, e.earliestSeen, e.sendsLeft)
 		}
 	}
-	fmt.Fprintf(h, "%x %d", w.snap, w.snapAt)
+	fmt.Fprintf(h, "%x %d", w.snapshot, w.snapshotAt)
 	for _, link := range allLinks {
-		for _, l := range w.links[link] {
-			fmt.Fprint(h, link, l.Msg.Facts, l.Msg.Digest, l.Msg.Want, l.Msg.Flags, l.Msg.Stamp)
+		for _, m := range w.links[link] {
+			fmt.Fprint(h, link, m.Msg.Facts, m.Msg.Digest, m.Msg.WantBuckets, m.Msg.Flags, m.Msg.SentAt)
 		}
-		fmt.Fprint(h, link, w.late[link].Msg.Facts, w.late[link].Msg.Stamp)
+		fmt.Fprint(h, link, w.delivered[link].Msg.Facts, w.delivered[link].Msg.SentAt)
 	}
 	return h.Sum64()
 }
 
-// copied so that two futures of it do not touch.
-func (w *world) Copied() *world {
+// Clone returns a deep copy.
+func (w *world) Clone() *world {
 	c := *w
-	c.ts, c.links, c.late = nil, map[[2]int][]post.Letter[Msg]{}, maps.Clone(w.late)
-	c.left, c.seen, c.over = maps.Clone(w.left), maps.Clone(w.seen), nil
-	for i, t := range w.ts {
-		c.ts, c.over = append(c.ts, t.copied()), append(c.over, maps.Clone(w.over[i]))
+	c.tables, c.links, c.delivered = nil, map[[2]int][]post.PeerMessage[Msg]{}, maps.Clone(w.delivered)
+	c.remaining, c.seen, c.withdrawn = maps.Clone(w.remaining), maps.Clone(w.seen), nil
+	for i, t := range w.tables {
+		c.tables, c.withdrawn = append(c.tables, t.copy()), append(c.withdrawn, maps.Clone(w.withdrawn[i]))
 	}
 	for link, line := range w.links {
 		c.links[link] = slices.Clone(line)
@@ -306,26 +307,26 @@
 	return &c
 }
 
-func (t *Table) copied() *Table {
+func (t *Table) copy() *Table {
 	c := *t
-	c.subjects, c.order, c.hot, c.peers = map[Subject][]*held{}, slices.Clone(t.order), nil, map[string]*peer{}
-	c.names, c.told, c.learnt, c.rng = slices.Clone(t.names), slices.Clone(t.told), maps.Clone(t.learnt), rand.New(rand.NewPCG(1, 1))
-	same := map[*held]*held{}
+	c.subjects, c.order, c.hot, c.peers = map[Subject][]*record{}, slices.Clone(t.order), nil, map[string]*peer{}
+	c.names, c.targets, c.syncedWith, c.rng = slices.Clone(t.names), slices.Clone(t.targets), maps.Clone(t.syncedWith), rand.New(rand.NewPCG(1, 1))
+	clones := map[*record]*record{}
 	for s, hs := range t.subjects {
 		for _, h := range hs {
-			twin := *h
-			same[h] = &twin
-			c.subjects[s] = append(c.subjects[s], &twin)
+			clone := *h
+			clones[h] = &clone
+			c.subjects[s] = append(c.subjects[s], &clone)
 		}
 	}
 	for _, h := range t.hot {
-		if twin := same[h]; twin != nil {
-			c.hot = append(c.hot, twin)
+		if clone := clones[h]; clone != nil {
+			c.hot = append(c.hot, clone)
 		}
 	}
 	for name, p := range t.peers {
-		twin := *p
-		c.peers[name] = &twin
+		clone := *p
+		c.peers[name] = &clone
 	}
 	return &c
 }
@@ -335,42 +336,42 @@
 	if *deep {
 		depth = 8
 	}
-	x := explore.Explorer[*world]{Ends: 8}
-	bad := x.All(newWorld(faults{}), depth)
+	x := explore.Explorer[*world]{HealEvery: 8}
+	bad := x.Search(newWorld(faults{}), depth)
 	t.Log(x.States(), "states,", depth, "events deep")
-	require.Empty(t, bad, x.Way)
+	require.Empty(t, bad, x.Path)
 	require.Greater(t, x.States(), 300)
 }
 
-func TestLongWays(t *testing.T) {
+func TestRandomWalks(t *testing.T) {
 	n := uint64(500)
 	if *deep {
 		n = 100_000
 	}
 	for seed := range n {
-		require.Empty(t, explore.Walk(newWorld(faults{}), seed, 18), seed)
+		require.Empty(t, explore.RandomWalk(newWorld(faults{}), seed, 18), seed)
 	}
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
-	const old, back, apart = "a fact counts beyond its greatest age", "a withdrawn fact came back", "senders that are connected do not agree"
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	const tooOld, resurrected, diverged = "a fact is active beyond its maximum age", "a withdrawn fact is active again", "connected senders disagree"
 	for _, c := range []struct {
 		name   string
 		faults faults
 		found  string
 	}{
-		{"ages do not travel", faults{ageless: true}, old},
-		{"stamps say that a letter left only now", faults{flattering: true}, old},
-		{"withdrawals are forgotten", faults{forgetful: true}, back},
-		{"what comes later takes the place of what is newer", faults{careless: true}, back},
-		{"withdrawals are passed on as facts", faults{raising: true}, apart},
-		{"nothing is compared", faults{mute: true}, apart},
+		{"ages are not transmitted", faults{dropAges: true}, tooOld},
+		{"timestamps claim that a message was just sent", faults{freshTimestamps: true}, tooOld},
+		{"withdrawals are dropped", faults{dropWithdrawals: true}, resurrected},
+		{"facts replace newer versions", faults{ignoreVersions: true}, resurrected},
+		{"withdrawals are forwarded as facts", faults{clearWithdrawn: true}, diverged},
+		{"no digests are exchanged", faults{dropDigests: true}, diverged},
 	} {
 		found := map[string]uint64{}
 		for seed := uint64(1); seed <= 1000 && found[c.found] == 0; seed++ {
-			found[explore.Walk(newWorld(c.faults), seed, 18)] = seed
+			found[explore.RandomWalk(newWorld(c.faults), seed, 18)] = seed
 		}
 		require.NotZero(t, found[c.found], "%s: %v", c.name, found)
-		t.Logf("%s: found on way %d", c.name, found[c.found])
+		t.Logf("%s: found on walk %d", c.name, found[c.found])
 	}
 }
--- a/internal/verdicts/forget.go
+++ b/internal/verdicts/forget.go
@@ -1,21 +1,21 @@
 package verdicts
 
-// Forget drops all that is held of destinations, and takes nothing of them that was seen before now from anyone: their data was
-// purged. How many facts went is told. A destination is remembered so until nothing seen before could count any more.
+// Forget removes all facts on destinations whose data was purged and rejects, from anyone, facts on them that were observed before now. It
+// returns the number of removed facts. A destination is remembered until no fact observed before could be active.
 func (t *Table) Forget(now int64, dsts ...int64) (n int) {
-	if t.forgot == nil {
-		t.forgot = map[int64]int64{}
+	if t.purgedAt == nil {
+		t.purgedAt = map[int64]int64{}
 	}
 	for _, d := range dsts {
-		t.forgot[d] = now
+		t.purgedAt[d] = now
 	}
-	for d, at := range t.forgot {
-		if now-at >= oldest {
-			delete(t.forgot, d)
+	for d, at := range t.purgedAt {
+		if now-at >= maxRetention {
+			delete(t.purgedAt, d)
 		}
 	}
-	t.sweep(func(h *held) bool {
-		if t.purged(h.entry) {
+	t.retain(func(r *record) bool {
+		if t.purged(r.entry) {
 			n++
 			return false
 		}
@@ -24,11 +24,11 @@
 	return n
 }
 
-// oldest is the greatest age that any fact is kept for, in µs.
-var oldest = max(slot(Down).kept(), slot(Wait).kept(), slot(Limit).kept(), slot(Scarce).kept())
+// maxRetention is the longest retention of any slot, in µs.
+var maxRetention = max(slot(Down).retention(), slot(RetryAfter).retention(), slot(Limit).retention(), slot(ConnsScarce).retention())
 
-// purged tells whether a fact was seen before its destination's data went.
+// purged reports whether a fact was observed before its destination's data was purged.
 func (t *Table) purged(e entry) bool {
-	at, any := t.forgot[e.Dst]
-	return any && e.seen <= at
+	at, any := t.purgedAt[e.Dst]
+	return any && e.latestSeen <= at
 }
--- a/internal/verdicts/forget_test.go
+++ b/internal/verdicts/forget_test.go
@@ -6,18 +6,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestForgottenDestinationsStayForgotten(t *testing.T) {
-	timing, room := Usual()
+func TestForgetRejectsOlderFacts(t *testing.T) {
+	timing, room := Defaults()
 	table := New("a", 1, timing, room)
 	old := Fact{Subject: Subject{Dst: 7, Receiver: "r"}, Kind: Down}
-	table.Own(1_000_000, old)
-	table.Own(1_000_000, Fact{Subject: Subject{Dst: 8, Receiver: "r"}, Kind: Down})
+	table.Observe(1_000_000, old)
+	table.Observe(1_000_000, Fact{Subject: Subject{Dst: 8, Receiver: "r"}, Kind: Down})
 	assert.Equal(t, 1, table.Forget(1_000_001, 7))
-	assert.Equal(t, 1, table.Len(), "another destination's stays")
+	assert.Equal(t, 1, table.Len(), "the other destination's fact stays")
 	old.Age = 500_000
-	table.Own(1_100_000, old)
-	assert.Equal(t, 1, table.Len(), "a late copy is refused")
+	table.Observe(1_100_000, old)
+	assert.Equal(t, 1, table.Len(), "a late copy is rejected")
 	old.Age = 0
-	table.Own(1_100_000, old)
-	assert.Equal(t, 2, table.Len(), "what is seen since counts")
+	table.Observe(1_100_000, old)
+	assert.Equal(t, 2, table.Len(), "an observation made since is accepted")
 }
--- a/internal/verdicts/merge_test.go
+++ b/internal/verdicts/merge_test.go
@@ -8,11 +8,11 @@
 )
 
 func drawEntry(t *rapid.T, label string) entry {
-	kind := rapid.SampledFrom([]Kind{Down, Back}).Draw(t, label+" kind")
+	kind := rapid.SampledFrom([]Kind{Down, Recovered}).Draw(t, label+" kind")
 	seen := rapid.Int64Range(0, 50).Draw(t, label+" seen")
-	return entry{seen: seen, surely: seen - rapid.Int64Range(0, 50).Draw(t, label+" slack"), Fact: Fact{Kind: kind, Origin: "a",
+	return entry{latestSeen: seen, earliestSeen: seen - rapid.Int64Range(0, 50).Draw(t, label+" slack"), Fact: Fact{Kind: kind, Origin: "a",
 		Incarnation: rapid.Uint64Range(1, 2).Draw(t, label+" inc"), Version: rapid.Uint64Range(1, 2).Draw(t, label+" version"),
-		For: rapid.Int64Range(0, 1).Draw(t, label+" for"), Withdrawn: rapid.Bool().Draw(t, label+" withdrawn")}}
+		Duration: rapid.Int64Range(0, 1).Draw(t, label+" duration"), Withdrawn: rapid.Bool().Draw(t, label+" withdrawn")}}
 }
 
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
@@ -24,29 +24,29 @@
 	})
 }
 
-// A letter's age is between its bounds whatever the links did, once there was an echo.
-func TestTravelIsBoundedByEchoes(t *testing.T) {
+// Once there was an echo, the bound on a message's transit time holds whatever the links did.
+func TestEchoesBoundTravelTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		theirs := rapid.Int64Range(0, 1e12).Draw(t, "their clock is ahead by")
+		offset := rapid.Int64Range(0, 1e12).Draw(t, "clock offset")
 		c := clock{}
 		now := int64(1e12) + 10e6
 		for i := range 20 {
-			travel := rapid.Int64Range(0, 9e6).Draw(t, "travel")
-			m := Msg{Incarnation: 1, Stamp: now - travel + theirs}
+			transit := rapid.Int64Range(0, 9e6).Draw(t, "transit")
+			m := Msg{Incarnation: 1, SentAt: now - transit + offset}
 			if i > 0 && rapid.Bool().Draw(t, "echo") {
-				back := rapid.Int64Range(0, 9e6).Draw(t, "travel of what is echoed")
-				held := rapid.Int64Range(0, 1e6).Draw(t, "held")
-				m.EchoOf, m.Echo, m.Held = 5, now-travel-held-back, held
+				echoTransit := rapid.Int64Range(0, 9e6).Draw(t, "transit of the echoed message")
+				delay := rapid.Int64Range(0, 1e6).Draw(t, "echo delay")
+				m.EchoOf, m.Echo, m.EchoDelay = 5, now-transit-delay-echoTransit, delay
 			}
-			if got := c.hear(now, 5, m); got >= 0 {
-				require.GreaterOrEqual(t, got, travel)
+			if got := c.update(now, 5, m); got >= 0 {
+				require.GreaterOrEqual(t, got, transit)
 			}
 			now += rapid.Int64Range(0, 1e6).Draw(t, "later")
 		}
 	})
 }
 
-func TestPackingKeepsTheMomentBetweenItsBounds(t *testing.T) {
+func TestPackPreservesAgeBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Fact{Kind: Limit, Age: rapid.Int64Range(0, 1e8).Draw(t, "age"), Slack: rapid.Int64Range(0, 1e7).Draw(t, "slack")}
 		got := pack(f).fact()
