--- a/internal/verdicts/msg.go
+++ b/internal/verdicts/msg.go
@@ -7,30 +7,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Flags of a letter.
+// Flags of a peer message.
 const (
-	flagEcho  uint8 = 1 << iota // an answer is wanted, for the sake of its echo
-	flagAgain                   // the facts of the letter answered could not be dated: send them again
-	flagSame                    // the digest answered is the same here
-	flagLast                    // the last letter of those that the digest answered brought about
+	flagEcho   uint8 = 1 << iota // a reply is wanted, for its echo
+	flagResend                   // the facts of the message answered could not be dated: send them again
+	flagInSync                   // the digest answered is equal here
+	flagLast                     // the last message in response to the digest
 )
 
-// Msg is what a letter carries. Stamps are of their sender's own clock and mean nothing to others but differences: by an echo of its own
-// stamp a sender knows how long a letter travelled at most.
+// Msg is a peer message. Timestamps are by the sender's own clock, and only their differences mean anything to others: from an echo of its
+// own timestamp a sender derives an upper bound on the transit time of a message.
 type Msg struct {
-	Incarnation uint64   `cbor:"1,keyasint"`
-	Stamp       int64    `cbor:"2,keyasint"`
-	EchoOf      uint64   `cbor:"3,keyasint,omitempty"` // the receiver's incarnation that Echo is of
-	Echo        int64    `cbor:"4,keyasint,omitempty"` // the newest stamp had of the receiver
-	Held        int64    `cbor:"5,keyasint,omitempty"` // µs since it came
-	Flags       uint8    `cbor:"6,keyasint,omitempty"`
-	Facts       []wire   `cbor:"7,keyasint,omitempty"`
-	Digest      []uint32 `cbor:"8,keyasint,omitempty"` // one: of all; or one a bucket
-	Want        uint32   `cbor:"9,keyasint,omitempty"` // bit a bucket whose facts are wanted
+	Incarnation uint64     `cbor:"1,keyasint"`
+	SentAt      int64      `cbor:"2,keyasint"`
+	EchoOf      uint64     `cbor:"3,keyasint,omitempty"` // the receiver's incarnation that Echo belongs to
+	Echo        int64      `cbor:"4,keyasint,omitempty"` // the latest timestamp received from the receiver
+	EchoDelay   int64      `cbor:"5,keyasint,omitempty"` // µs since it arrived
+	Flags       uint8      `cbor:"6,keyasint,omitempty"`
+	Facts       []wireFact `cbor:"7,keyasint,omitempty"`
+	Digest      []uint32   `cbor:"8,keyasint,omitempty"` // one element: over all facts; otherwise one per bucket
+	WantBuckets uint32     `cbor:"9,keyasint,omitempty"` // bit set of the buckets whose facts are wanted
 }
 
-// wire is a fact in a letter. Ages are in ms, rounded so that the moment seen stays between its bounds.
-type wire struct {
+// wireFact is the encoded form of a fact. Ages are in ms, rounded so that the time of the observation stays within its bounds.
+type wireFact struct {
 	_           struct{} `cbor:",toarray"`
 	Dst         int64
 	Receiver    string
@@ -40,51 +40,51 @@
 	Version     uint64
 	Age         uint32
 	Slack       uint32
-	For         int64
-	Level       int64 // thousandths
+	Duration    int64
+	Value       int64 // thousandths
 	Withdrawn   bool
 }
 
-func pack(f Fact) wire {
-	down := f.Age / 1000
-	slack := (f.Age - down*1000 + f.Slack + 999) / 1000
-	return wire{Dst: f.Dst, Receiver: f.Receiver, Kind: uint8(f.Kind), Origin: f.Origin, Incarnation: f.Incarnation, Version: f.Version,
-		Age: uint32(down), Slack: uint32(min(slack, absurdAge/1000)), For: f.For, Level: int64(math.Round(f.Level * 1000)),
+func pack(f Fact) wireFact {
+	ageMs := f.Age / 1000
+	slack := (f.Age - ageMs*1000 + f.Slack + 999) / 1000
+	return wireFact{Dst: f.Dst, Receiver: f.Receiver, Kind: uint8(f.Kind), Origin: f.Origin, Incarnation: f.Incarnation, Version: f.Version,
+		Age: uint32(ageMs), Slack: uint32(min(slack, maxPlausibleAge/1000)), Duration: f.Duration, Value: int64(math.Round(f.Value * 1000)),
 		Withdrawn: f.Withdrawn}
 }
 
-func (w wire) fact() Fact {
+func (w wireFact) fact() Fact {
 	return Fact{Subject: Subject{w.Dst, w.Receiver}, Kind: Kind(w.Kind), Origin: w.Origin, Incarnation: w.Incarnation, Version: w.Version,
-		Age: int64(w.Age) * 1000, Slack: int64(w.Slack) * 1000, For: w.For, Level: float64(w.Level) / 1000, Withdrawn: w.Withdrawn}
+		Age: int64(w.Age) * 1000, Slack: int64(w.Slack) * 1000, Duration: w.Duration, Value: float64(w.Value) / 1000, Withdrawn: w.Withdrawn}
 }
 
-// size of it in a letter, in bytes.
-func (w wire) size() int {
-	return 4 + text(w.Receiver) + text(w.Origin) + numeral(w.Dst) + numeral(int64(w.Incarnation)) + numeral(int64(w.Version)) +
-		numeral(int64(w.Age)) + numeral(int64(w.Slack)) + numeral(w.For) + numeral(w.Level)
+// size returns the approximate encoded size in bytes.
+func (w wireFact) size() int {
+	return 4 + textSize(w.Receiver) + textSize(w.Origin) + intSize(w.Dst) + intSize(int64(w.Incarnation)) + intSize(int64(w.Version)) +
+		intSize(int64(w.Age)) + intSize(int64(w.Slack)) + intSize(w.Duration) + intSize(w.Value)
 }
 
-// size in bytes.
+// size returns the approximate encoded size in bytes.
 func (m Msg) size() int {
-	n := 3 + numeral(int64(m.Incarnation)) + numeral(m.Stamp)
-	for _, v := range [...]int64{int64(m.EchoOf), m.Echo, m.Held, int64(m.Flags), int64(m.Want)} {
+	n := 3 + intSize(int64(m.Incarnation)) + intSize(m.SentAt)
+	for _, v := range [...]int64{int64(m.EchoOf), m.Echo, m.EchoDelay, int64(m.Flags), int64(m.WantBuckets)} {
 		if v != 0 {
-			n += 1 + numeral(v)
+			n += 1 + intSize(v)
 		}
 	}
 	for _, w := range m.Facts {
 		n += w.size()
 	}
 	for _, d := range m.Digest {
-		n += numeral(int64(d))
+		n += intSize(int64(d))
 	}
-	return n + 1 + numeral(int64(len(m.Facts))) + bit(len(m.Digest) > 0)*(1+numeral(int64(len(m.Digest))))
+	return n + 1 + intSize(int64(len(m.Facts))) + boolToInt(len(m.Digest) > 0)*(1+intSize(int64(len(m.Digest))))
 }
 
-func text(s string) int { return numeral(int64(len(s))) + len(s) }
+func textSize(s string) int { return intSize(int64(len(s))) + len(s) }
 
-// numeral is how many bytes cbor needs for a whole number.
-func numeral(n int64) int {
+// intSize returns the CBOR-encoded size of an integer.
+func intSize(n int64) int {
 	switch {
 	case n < 24:
 		return 1
@@ -99,18 +99,18 @@
 }
 
 const (
-	vague = 1_000_000 // µs of slack
-	head  = 40        // bytes of a letter without facts and digests, about; for filling letters
+	maxPreciseSlack = 1_000_000 // µs; entries with this slack or more get another fingerprint
+	headerSize      = 40        // approximate bytes of a message without facts and digests, for filling messages
 )
 
-// Decode reads a letter; anything not in the form of a Msg, or with more in it than any sender puts there, is an error.
+// Decode decodes a peer message. Other forms, and more elements than any sender encodes, are errors.
 func Decode(b []byte) (Msg, error) {
 	var m Msg
-	err := strict.Unmarshal(b, &m)
+	err := messageDecMode.Unmarshal(b, &m)
 	return m, err
 }
 
-var strict = func() cbor.DecMode {
+var messageDecMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err) // constants above
@@ -118,19 +118,20 @@
 	return mode
 }()
 
-// place of a subject among the buckets.
+// bucket returns the digest bucket of a subject.
 func (s Subject) bucket() int {
-	return int(s.sum() % buckets)
+	return int(s.hash() % buckets)
 }
 
-func (s Subject) sum() uint64 {
+func (s Subject) hash() uint64 {
 	return mix(uint64(s.Dst)) ^ xxhash.Sum64String(s.Receiver)
 }
 
-// mark of an entry's version in a digest. One that came by a slow letter is marked apart: who has a better date of it shall tell.
-func (e entry) mark() uint32 {
-	h := mix(e.sum()+uint64(e.Kind.slot())) ^ xxhash.Sum64String(e.Origin)
-	h = mix(mix(h^e.Incarnation)^e.Version) ^ uint64(bit(e.seen-e.surely >= vague))
+// fingerprint hashes an entry's version for a digest. An entry with large slack hashes differently, so that a peer with tighter bounds on
+// its age sends them.
+func (e entry) fingerprint() uint32 {
+	h := mix(e.hash()+uint64(e.Kind.slot())) ^ xxhash.Sum64String(e.Origin)
+	h = mix(mix(h^e.Incarnation)^e.Version) ^ uint64(boolToInt(e.latestSeen-e.earliestSeen >= maxPreciseSlack))
 	return uint32(h ^ h>>32)
 }
 
--- a/internal/verdicts/snapshot.go
+++ b/internal/verdicts/snapshot.go
@@ -9,80 +9,80 @@
 )
 
 const (
-	snapshotForm  = 1
-	snapshotFacts = 4096 // in one snapshot
+	snapshotFormat   = 1
+	maxSnapshotFacts = 4096 // per snapshot
 )
 
 type snapshot struct {
-	Form uint8  `cbor:"1,keyasint"`
-	Sum  uint64 `cbor:"2,keyasint"` // of Body
-	Body []byte `cbor:"3,keyasint"`
+	Format   uint8  `cbor:"1,keyasint"`
+	Checksum uint64 `cbor:"2,keyasint"` // of Body
+	Body     []byte `cbor:"3,keyasint"`
 }
 
-// Errors of Restore. Nothing is restored in any of them.
+// Errors of Restore. Each of them means that nothing was restored.
 var (
-	ErrTorn  = errors.New("snapshot of verdicts is torn")
-	ErrForm  = errors.New("snapshot of verdicts has an unknown form")
-	ErrClock = errors.New("the clock went back while the sender was down")
+	ErrCorrupt       = errors.New("verdict snapshot is truncated or corrupt")
+	ErrFormat        = errors.New("verdict snapshot has an unknown format")
+	ErrClockWentBack = errors.New("wall clock went back since the verdict snapshot was made")
 )
 
-// Snapshot is all that counts now and all that was withdrawn, for the next start of this sender.
+// Snapshot encodes all active and all withdrawn facts for the next start of this sender.
 func (t *Table) Snapshot(now int64) ([]byte, error) {
-	var facts []wire
+	var facts []wireFact
 	for _, s := range t.order {
-		for _, h := range t.subjects[s] {
-			if (h.counts(now) || h.Withdrawn && !h.over(now)) && len(facts) < snapshotFacts {
-				facts = append(facts, pack(h.at(now)))
+		for _, r := range t.subjects[s] {
+			if (r.active(now) || r.Withdrawn && !r.expired(now)) && len(facts) < maxSnapshotFacts {
+				facts = append(facts, pack(r.factAt(now)))
 			}
 		}
 	}
 	body, err := cbor.Marshal(facts)
 	if err != nil {
-		return nil, fmt.Errorf("snapshot of verdicts: %w", err)
+		return nil, fmt.Errorf("encode verdict snapshot: %w", err)
 	}
-	return cbor.Marshal(snapshot{Form: snapshotForm, Sum: xxhash.Sum64(body), Body: body})
+	return cbor.Marshal(snapshot{Format: snapshotFormat, Checksum: xxhash.Sum64(body), Body: body})
 }
 
-var whole = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: snapshotFacts, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
+var snapshotDecMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxSnapshotFacts, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err) // constants above
 	}
 	return mode
 }()
 
-// Restore takes in a snapshot that was made downFor µs ago, as the difference of wall clocks tells, and returns how many facts of it still
-// count. To be called before anything else; facts of origins that View does not list go again.
+// Restore loads a snapshot that was made downFor µs ago by wall-clock time, and returns how many of its facts are still active. Call it
+// before any other method; SetView removes facts of unlisted origins again.
 func (t *Table) Restore(now int64, b []byte, downFor int64) (int, error) {
 	var s snapshot
-	if err := whole.Unmarshal(b, &s); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrTorn, err)
+	if err := snapshotDecMode.Unmarshal(b, &s); err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if s.Form != snapshotForm {
-		return 0, fmt.Errorf("%w: %d", ErrForm, s.Form)
+	if s.Format != snapshotFormat {
+		return 0, fmt.Errorf("%w: %d", ErrFormat, s.Format)
 	}
-	if xxhash.Sum64(s.Body) != s.Sum {
-		return 0, ErrTorn
+	if xxhash.Sum64(s.Body) != s.Checksum {
+		return 0, ErrCorrupt
 	}
 	if downFor < 0 {
-		return 0, ErrClock
+		return 0, ErrClockWentBack
 	}
-	var facts []wire
-	if err := whole.Unmarshal(s.Body, &facts); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrTorn, err)
+	var facts []wireFact
+	if err := snapshotDecMode.Unmarshal(s.Body, &facts); err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	n := 0
 	for _, w := range facts {
 		f := w.fact()
-		if !f.sane() || downFor > absurdAge || f.Origin == t.self && f.Incarnation >= t.incarnation {
-			t.counts.Absurd++
+		if !f.valid() || downFor > maxPlausibleAge || f.Origin == t.self && f.Incarnation >= t.incarnation {
+			t.counts.Invalid++
 			continue
 		}
-		e := entry{Fact: f, seen: now - f.Age - downFor, surely: now - f.Age - f.Slack - downFor}
+		e := entry{Fact: f, latestSeen: now - f.Age - downFor, earliestSeen: now - f.Age - f.Slack - downFor}
 		e.Age, e.Slack = 0, 0
-		if h := t.put(now, e); h != nil {
-			h.copies = 0
-			if h.counts(now) {
+		if r := t.put(now, e); r != nil {
+			r.sendsLeft = 0
+			if r.active(now) {
 				n++
 			}
 		}
--- a/internal/verdicts/table.go
+++ b/internal/verdicts/table.go
@@ -10,118 +10,120 @@
 	"ravenlink/internal/post"
 )
 
-// Timing of a table, in µs.
+// Timing holds the intervals of a table, in µs.
 type Timing struct {
-	Hot      int64 // between two rounds of what is hot
-	Exchange int64 // between two comparisons with one other sender
-	LearnFor int64 // a joiner waits no longer for what others know
+	GossipInterval   int64 // between gossip rounds
+	ExchangeInterval int64 // between digest comparisons with another sender
+	SyncTimeout      int64 // after which a joining sender stops waiting for the facts of others
 }
 
-// Room bounds a table and its letters.
-type Room struct {
-	Subjects int // more are refused until facts have gone by their age
-	Origins  int // facts a subject and kind; a younger one takes the place of the oldest
-	Letter   int // bytes
-	Rate     int // bytes a second of all letters together; what does not fit waits for the next round
+// Bounds limits the size of a table and of what it sends.
+type Bounds struct {
+	MaxSubjects int // more are rejected until facts have expired
+	MaxOrigins  int // facts per subject and kind; a newer one replaces the oldest
+	MaxBytes    int // size of one message
+	BytesPerSec int // of all messages together; what does not fit waits for the next round
 }
 
-// Usual timing and room.
-func Usual() (Timing, Room) {
-	return Timing{Hot: 100_000, Exchange: 1_000_000, LearnFor: 3_000_000}, Room{Subjects: 4096, Origins: 16, Letter: 1200, Rate: 2000}
+// Defaults returns the default timing and bounds.
+func Defaults() (Timing, Bounds) {
+	return Timing{GossipInterval: 100_000, ExchangeInterval: 1_000_000, SyncTimeout: 3_000_000},
+		Bounds{MaxSubjects: 4096, MaxOrigins: 16, MaxBytes: 1200, BytesPerSec: 2000}
 }
 
 const (
-	fanout    = 4             // letters at once on what is new
-	rounds    = 4             // times it goes out, the first among them; each to fanout others
-	roundsFew = 2             // where less than a second's bytes are left
-	enough    = 3             // origins that say the same of a subject: further ones are kept but not passed on
-	learnFrom = 3             // senders that a joiner compares with before it knows enough
-	buckets   = 32            // parts of a table that are compared
-	answers   = 4             // letters at most in answer to a digest
-	maxName   = 200           // bytes
-	maxFacts  = 256           // a letter; more is refused
-	absurdAge = 3_600_000_000 // µs
-	drift     = 5000          // clocks differ by one part in this at most
-	freshHear = 2_000_000     // µs: facts not older than this are sent again to one who could not date them
-	burst     = 4             // seconds of Rate that may be saved up
-	newsOf    = 10            // one part in this: a lesser change of a figure is no news
+	fanout          = 4             // targets of each send of a new fact
+	rounds          = 4             // times that a new fact is sent, each to fanout targets
+	roundsLow       = 2             // the same, with less than a second's budget left
+	suppressAfter   = 3             // origins with the same fact on a subject: further ones are stored but not forwarded
+	syncPeers       = 3             // senders that a joining sender compares digests with
+	buckets         = 32            // digest buckets of a table
+	maxReplies      = 4             // messages at most in reply to a digest
+	maxNameLen      = 200           // bytes
+	maxFacts        = 256           // per message; more is rejected
+	maxPlausibleAge = 3_600_000_000 // µs
+	driftDivisor    = 5000          // clocks differ by at most one part in this
+	maxResendAge    = 2_000_000     // µs: facts up to this age are sent again to a peer that could not date them
+	burstSeconds    = 4             // seconds of BytesPerSec that may be saved up
+	changeDivisor   = 10            // a relative change of a value below one part in this is not propagated
 )
 
-// Counts of what was refused, by cause, and of what went out.
+// Counts counts rejected messages and facts by cause, and bytes sent.
 type Counts struct {
-	Unlisted, Unknown, Absurd, Future, Undated, Full uint64
-	Bytes                                            uint64 // about, of all letters
+	Unlisted, Unknown, Invalid, Future, Undated, Full uint64
+	Bytes                                             uint64 // approximate, of all messages
 }
 
-// peer is another sender.
+// peer is the state of another sender.
 type peer struct {
-	name        string
-	gone        bool   // or left, as the view says
-	missed      bool   // it was gone and is back: what it missed is compared at the next round
-	incarnation uint64 // as the view or its own letters say
-	folder      uint64
-	clock       clock
-	again       int64 // when it was last told that its facts could not be dated
+	name              string
+	unreachable       bool   // dead or left, per the view
+	needsSync         bool   // was unreachable and has returned: digests are compared in the next round
+	incarnation       uint64 // per the view or its own messages
+	folder            uint64
+	clock             clock
+	resendRequestedAt int64 // last request to send undated facts again
 }
 
-// Table is one sender's. Not for use by several goroutines at once.
+// Table is the fact table of one sender. It is not safe for concurrent use.
 type Table struct {
-	t           Timing
-	room        Room
-	self        string
-	incarnation uint64
-	version     uint64
-	subjects    map[Subject][]*held // of a subject, sorted by slot and origin
-	order       []Subject           // sorted
-	peers       map[string]*peer
-	names       []string // of all peers, sorted
-	alive       int      // how many
-	told        []string // alive or doubted, shuffled: a doubt is mostly a slow link, and a letter costs less than what is not heard in time
-	turn        int      // in told: who is next
-	hot         []*held  // in the order in which they became hot
-	rng         *rand.Rand
-	tokens      float64 // bytes that may go out
-	filled      int64
-	begun       bool
-	viewed      bool
-	born        int64
-	nextHot     int64
-	nextComp    int64
-	learnt      map[string]bool
-	letterNo    uint64
-	counts      Counts
-	forgot      map[int64]int64 // when the data of destinations was purged; emptied by Forget, at most what the operator's file lists
+	timing       Timing
+	bounds       Bounds
+	self         string
+	incarnation  uint64
+	version      uint64
+	subjects     map[Subject][]*record // per subject, sorted by slot and origin
+	order        []Subject             // sorted
+	peers        map[string]*peer
+	names        []string  // of all peers, sorted
+	aliveCount   int       // number of peers that are alive
+	targets      []string  // alive or suspect, shuffled: a suspect is mostly on a slow link, and a message costs less than a fact not received in time
+	nextTarget   int       // index of the next target
+	hot          []*record // in the order in which they became hot
+	rng          *rand.Rand
+	tokens       float64 // bytes that may be sent
+	tokensAt     int64
+	started      bool
+	hasView      bool
+	startedAt    int64
+	nextRound    int64
+	nextExchange int64
+	syncedWith   map[string]bool
+	slotCounter  uint64
+	counts       Counts
+	purgedAt     map[int64]int64 // time of the last purge by destination; trimmed by Forget, at most the destinations in the operator's file
 }
 
-// held is an entry with what is to be done with it here.
-type held struct {
+// record is an entry with its forwarding state.
+type record struct {
 	entry
-	copies int  // rounds in which it still goes out
-	listed bool // among the hot
-	quiet  bool // own, but others have said so often enough
+	sendsLeft  int  // rounds in which it is still sent
+	queued     bool // in the hot list
+	suppressed bool // own, but enough others have reported the same
 }
 
-// New table of a sender in one incarnation. It tells nobody anything before View names the others.
-func New(self string, incarnation uint64, t Timing, room Room) *Table {
-	return &Table{t: t, room: room, self: self, incarnation: incarnation, subjects: map[Subject][]*held{}, peers: map[string]*peer{},
-		learnt: map[string]bool{}, rng: rand.New(rand.NewPCG(xxhash.Sum64String(self), incarnation)), tokens: float64(burst * room.Rate)}
+// New returns the table of a sender in one incarnation. It sends nothing before SetView names the others.
+func New(self string, incarnation uint64, t Timing, bounds Bounds) *Table {
+	return &Table{timing: t, bounds: bounds, self: self, incarnation: incarnation, subjects: map[Subject][]*record{}, peers: map[string]*peer{},
+		syncedWith: map[string]bool{}, rng: rand.New(rand.NewPCG(xxhash.Sum64String(self), incarnation)),
+		tokens: float64(burstSeconds * bounds.BytesPerSec)}
 }
 
-func (t *Table) begin(now int64) {
-	if !t.begun {
-		t.begun, t.born, t.nextHot, t.nextComp, t.filled = true, now, now, now, now
+func (t *Table) start(now int64) {
+	if !t.started {
+		t.started, t.startedAt, t.nextRound, t.nextExchange, t.tokensAt = true, now, now, now, now
 	}
 }
 
-// Counts tells what was refused so far.
+// Counts returns the counters.
 func (t *Table) Counts() Counts { return t.counts }
 
-// View takes in who is listed and who lives. Facts of origins that are no longer listed go.
-func (t *Table) View(now int64, v members.View) {
-	t.begin(now)
-	t.viewed = true
+// SetView updates the listed members and their states. It removes facts of origins that are no longer listed.
+func (t *Table) SetView(now int64, v members.View) {
+	t.start(now)
+	t.hasView = true
 	listed := map[string]bool{}
-	t.alive, t.told, t.names = 0, t.told[:0], t.names[:0]
+	t.aliveCount, t.targets, t.names = 0, t.targets[:0], t.names[:0]
 	for _, m := range v.Members {
 		listed[m.Name] = true
 		if m.Name == t.self {
@@ -133,14 +135,14 @@
 			p = &peer{name: m.Name}
 			t.peers[m.Name] = p
 		}
-		t.refolded(p, m)
-		gone := m.State != members.Alive && m.State != members.Doubted
-		p.missed = !gone && (p.missed || p.gone)
-		p.gone, p.incarnation = gone, max(p.incarnation, m.Incarnation)
+		t.resetNewFolder(p, m)
+		unreachable := m.State != members.Alive && m.State != members.Suspect
+		p.needsSync = !unreachable && (p.needsSync || p.unreachable)
+		p.unreachable, p.incarnation = unreachable, max(p.incarnation, m.Incarnation)
 		t.names = append(t.names, m.Name)
-		t.alive += bit(m.State == members.Alive)
-		if !gone && p.incarnation > 0 {
-			t.told = append(t.told, m.Name)
+		t.aliveCount += boolToInt(m.State == members.Alive)
+		if !unreachable && p.incarnation > 0 {
+			t.targets = append(t.targets, m.Name)
 		}
 	}
 	for name := range t.peers {
@@ -148,25 +150,26 @@
 			delete(t.peers, name)
 		}
 	}
-	t.rng.Shuffle(len(t.told), func(i, j int) { t.told[i], t.told[j] = t.told[j], t.told[i] })
-	t.sweep(func(h *held) bool { return h.Origin == t.self || listed[h.Origin] })
+	t.rng.Shuffle(len(t.targets), func(i, j int) { t.targets[i], t.targets[j] = t.targets[j], t.targets[i] })
+	t.retain(func(r *record) bool { return r.Origin == t.self || listed[r.Origin] })
 }
 
-// refolded: a sender on another folder counts its incarnations from one again, so what is known of the old ones must not stand in their way.
-func (t *Table) refolded(p *peer, m members.Member) {
+// resetNewFolder handles a sender with a new folder. Its incarnations count from one again, so state with higher incarnations would
+// otherwise mask its new facts.
+func (t *Table) resetNewFolder(p *peer, m members.Member) {
 	if p.folder != 0 && m.Folder != p.folder {
 		*p = peer{name: p.name}
-		t.sweep(func(h *held) bool { return h.Origin != m.Name || h.Incarnation <= m.Incarnation })
+		t.retain(func(r *record) bool { return r.Origin != m.Name || r.Incarnation <= m.Incarnation })
 	}
 	p.folder = m.Folder
 }
 
-// sweep keeps what stays.
-func (t *Table) sweep(stays func(*held) bool) {
+// retain removes the records for which keep returns false.
+func (t *Table) retain(keep func(*record) bool) {
 	t.order = slices.DeleteFunc(t.order, func(s Subject) bool {
-		t.subjects[s] = slices.DeleteFunc(t.subjects[s], func(h *held) bool {
-			if !stays(h) {
-				h.copies = 0
+		t.subjects[s] = slices.DeleteFunc(t.subjects[s], func(r *record) bool {
+			if !keep(r) {
+				r.sendsLeft = 0
 				return true
 			}
 			return false
@@ -179,88 +182,88 @@
 	})
 }
 
-// Learning is true while a joiner should send no more than a trickle: until it has compared what it knows with three others (all,
-// where fewer live), or its time for that is over.
-func (t *Table) Learning(now int64) bool {
-	if !t.begun {
+// Syncing reports whether a joining sender should still send only a trickle: until it has compared digests with three other senders (all,
+// if fewer are alive), or SyncTimeout has passed.
+func (t *Table) Syncing(now int64) bool {
+	if !t.started {
 		return true
 	}
-	if now-t.born >= t.t.LearnFor {
+	if now-t.startedAt >= t.timing.SyncTimeout {
 		return false
 	}
-	return !t.viewed || len(t.learnt) == 0 && len(t.names) > 0 || len(t.learnt) < min(learnFrom, t.alive)
+	return !t.hasView || len(t.syncedWith) == 0 && len(t.names) > 0 || len(t.syncedWith) < min(syncPeers, t.aliveCount)
 }
 
-// Own takes in what this sender saw itself; Age and the kind's figures are given by the caller.
-func (t *Table) Own(now int64, f Fact) []post.Letter[Msg] {
-	t.begin(now)
+// Observe records an observation of this sender. The caller sets the age and the values of the kind.
+func (t *Table) Observe(now int64, f Fact) []post.PeerMessage[Msg] {
+	t.start(now)
 	f.Origin, f.Incarnation, f.Version, f.Slack, f.Withdrawn = t.self, t.incarnation, t.version+1, 0, false
-	if f.Kind == Wait {
-		f.For = min(f.For, GreatestWait)
+	if f.Kind == RetryAfter {
+		f.Duration = min(f.Duration, MaxAgeRetryAfter)
 	}
-	if !f.sane() {
-		t.counts.Absurd++
+	if !f.valid() {
+		t.counts.Invalid++
 		return nil
 	}
-	f = pack(f).fact() // as others will have it
-	e := entry{Fact: f, seen: now - f.Age, surely: now - f.Age - f.Slack}
+	f = pack(f).fact() // rounded as others will receive it
+	e := entry{Fact: f, latestSeen: now - f.Age, earliestSeen: now - f.Age - f.Slack}
 	e.Age, e.Slack = 0, 0
-	if old := t.find(f.key()); old != nil && old.Incarnation == t.incarnation && old.counts(now) && !old.news(e, now) {
+	if old := t.find(f.key()); old != nil && old.Incarnation == t.incarnation && old.active(now) && !old.changedBy(e, now) {
 		return nil
 	}
-	h := t.put(now, e)
-	if h == nil {
+	r := t.put(now, e)
+	if r == nil {
 		return nil
 	}
 	t.version++
-	if t.echoed(now, h) {
-		h.quiet, h.copies = true, 0
+	if t.corroborated(now, r) {
+		r.suppressed, r.sendsLeft = true, 0
 		return nil
 	}
-	return t.atOnce(now, []*held{h})
+	return t.sendNow(now, []*record{r})
 }
 
-// news tells whether an own fact e says more than e0 did: another kind, a figure that differs, or one that had grown old.
-func (e0 entry) news(e entry, now int64) bool {
-	if e0.Kind != e.Kind || e0.Withdrawn || now-e0.surely >= e.Kind.Greatest()/3 {
+// changedBy reports whether an own fact next adds to e: another kind, a different value, or a refresh of an aged fact.
+func (e entry) changedBy(next entry, now int64) bool {
+	if e.Kind != next.Kind || e.Withdrawn || now-e.earliestSeen >= next.Kind.MaxAge()/3 {
 		return true
 	}
-	if d := e.Level - e0.Level; max(d, -d)*newsOf > max(e.Level, e0.Level) {
+	if d := next.Value - e.Value; max(d, -d)*changeDivisor > max(next.Value, e.Value) {
 		return true
 	}
-	if e.Kind == Wait {
-		end, had := e.seen+e.For, e0.seen+e0.For
-		return max(end-had, had-end)*newsOf > max(e.For, had-now)
+	if next.Kind == RetryAfter {
+		end, oldEnd := next.latestSeen+next.Duration, e.latestSeen+e.Duration
+		return max(end-oldEnd, oldEnd-end)*changeDivisor > max(next.Duration, oldEnd-now)
 	}
 	return false
 }
 
-// Withdraw ends an own fact: it no longer holds, and nothing else is known in its place.
-func (t *Table) Withdraw(now int64, s Subject, k Kind) []post.Letter[Msg] {
-	t.begin(now)
+// Withdraw ends an own fact: it no longer holds, and nothing replaces it.
+func (t *Table) Withdraw(now int64, s Subject, k Kind) []post.PeerMessage[Msg] {
+	t.start(now)
 	old := t.find(key{s, k.slot(), t.self})
 	if old == nil || old.Withdrawn {
 		return nil
 	}
 	e := old.entry
-	e.Incarnation, e.Version, e.Withdrawn, e.seen, e.surely = t.incarnation, t.version+1, true, now, now
+	e.Incarnation, e.Version, e.Withdrawn, e.latestSeen, e.earliestSeen = t.incarnation, t.version+1, true, now, now
 	t.version++
-	h := t.put(now, e)
-	return t.atOnce(now, []*held{h})
+	r := t.put(now, e)
+	return t.sendNow(now, []*record{r})
 }
 
-// echoed: enough others say just that.
-func (t *Table) echoed(now int64, e *held) bool {
+// corroborated reports whether enough other origins report the same fact.
+func (t *Table) corroborated(now int64, e *record) bool {
 	n := 0
-	for _, h := range t.subjects[e.Subject] {
-		if h.Origin != e.Origin && h.Kind == e.Kind && h.counts(now) && !h.entry.news(e.entry, now) {
+	for _, r := range t.subjects[e.Subject] {
+		if r.Origin != e.Origin && r.Kind == e.Kind && r.active(now) && !r.entry.changedBy(e.entry, now) {
 			n++
 		}
 	}
-	return n >= enough
+	return n >= suppressAfter
 }
 
-func (t *Table) find(k key) *held {
+func (t *Table) find(k key) *record {
 	if i, ok := t.index(k); ok {
 		return t.subjects[k.Subject][i]
 	}
@@ -268,11 +271,11 @@
 }
 
 func (t *Table) index(k key) (int, bool) {
-	return slices.BinarySearchFunc(t.subjects[k.Subject], k, func(h *held, k key) int {
-		if c := int(h.Kind.slot()) - int(k.slot); c != 0 {
+	return slices.BinarySearchFunc(t.subjects[k.Subject], k, func(r *record, k key) int {
+		if c := int(r.Kind.slot()) - int(k.slot); c != 0 {
 			return c
 		}
-		return compareNames(h.Origin, k.origin)
+		return compareNames(r.Origin, k.origin)
 	})
 }
 
@@ -286,75 +289,76 @@
 	return 0
 }
 
-// put is the only place where an entry comes into the table or changes. It returns nil for what has no
-// room and for what was known; a fact that now counts by a better date of it is news.
-func (t *Table) put(now int64, e entry) *held {
+// put is the only method that inserts or changes entries. It returns nil if there is no room or nothing changed; a fact that becomes active
+// through tighter bounds on its age counts as a change.
+func (t *Table) put(now int64, e entry) *record {
 	if t.purged(e) {
 		return nil
 	}
-	if e.over(now) {
+	if e.expired(now) {
 		return nil
 	}
 	k := e.key()
 	i, ok := t.index(k)
 	if ok {
-		h := t.subjects[k.Subject][i]
-		was := h.entry
-		h.entry = merge(was, e)
-		if newer(h.Fact, was.Fact) == 0 && (was.counts(now) || !h.counts(now)) {
+		r := t.subjects[k.Subject][i]
+		before := r.entry
+		r.entry = merge(before, e)
+		if compareVersions(r.Fact, before.Fact) == 0 && (before.active(now) || !r.active(now)) {
 			return nil
 		}
-		t.heat(h)
-		return h
+		t.markHot(r)
+		return r
 	}
 	if !t.makeRoom(now, e) {
 		t.counts.Full++
 		return nil
 	}
 	i, _ = t.index(k)
-	h := &held{entry: e}
+	r := &record{entry: e}
 	if _, known := t.subjects[k.Subject]; !known {
 		at, _ := slices.BinarySearchFunc(t.order, k.Subject, Subject.compare)
 		t.order = slices.Insert(t.order, at, k.Subject)
 	}
-	t.subjects[k.Subject] = slices.Insert(t.subjects[k.Subject], i, h)
-	t.heat(h)
-	return h
+	t.subjects[k.Subject] = slices.Insert(t.subjects[k.Subject], i, r)
+	t.markHot(r)
+	return r
 }
 
-func (t *Table) heat(h *held) {
-	if !h.listed {
-		t.hot = append(t.hot, h)
+func (t *Table) markHot(r *record) {
+	if !r.queued {
+		t.hot = append(t.hot, r)
 	}
-	h.listed, h.quiet, h.copies = true, false, rounds
-	if t.tokens < float64(t.room.Rate) {
-		h.copies = roundsFew
+	r.queued, r.suppressed, r.sendsLeft = true, false, rounds
+	if t.tokens < float64(t.bounds.BytesPerSec) {
+		r.sendsLeft = roundsLow
 	}
 }
 
-// makeRoom: a table full of subjects takes in no more; of a full slot the oldest goes, unless e is older. Withdrawals and own sight stay.
+// makeRoom reports whether an entry fits. A table with the maximum number of subjects accepts no more; in a full slot the oldest entry is
+// evicted unless e is older. Withdrawals and own observations stay.
 func (t *Table) makeRoom(now int64, e entry) bool {
-	all, known := t.subjects[e.Subject]
+	records, known := t.subjects[e.Subject]
 	if !known {
-		return len(t.subjects) < t.room.Subjects
+		return len(t.subjects) < t.bounds.MaxSubjects
 	}
-	n, oldest := 0, -1
-	for i, h := range all {
-		if h.Kind.slot() != e.Kind.slot() {
+	count, oldest := 0, -1
+	for i, r := range records {
+		if r.Kind.slot() != e.Kind.slot() {
 			continue
 		}
-		n++
-		if !h.Withdrawn && h.Origin != t.self && (oldest < 0 || h.seen < all[oldest].seen) {
+		count++
+		if !r.Withdrawn && r.Origin != t.self && (oldest < 0 || r.latestSeen < records[oldest].latestSeen) {
 			oldest = i
 		}
 	}
-	if n < t.room.Origins || e.Origin == t.self {
+	if count < t.bounds.MaxOrigins || e.Origin == t.self {
 		return true
 	}
-	if oldest < 0 || all[oldest].seen >= e.seen {
+	if oldest < 0 || records[oldest].latestSeen >= e.latestSeen {
 		return false
 	}
-	all[oldest].copies = 0
-	t.subjects[e.Subject] = slices.Delete(all, oldest, oldest+1)
+	records[oldest].sendsLeft = 0
+	t.subjects[e.Subject] = slices.Delete(records, oldest, oldest+1)
 	return true
 }
--- a/internal/verdicts/table_test.go
+++ b/internal/verdicts/table_test.go
@@ -11,12 +11,12 @@
 	"ravenlink/internal/post"
 )
 
-// node is a table as the runtime would hold it.
+// node adapts a Table to mesh.Node.
 type node struct{ *Table }
 
-func (n node) Heard(now int64, from string, m Msg) []post.Letter[Msg] {
-	_, letters := n.Table.Heard(now, from, m)
-	return letters
+func (n node) Receive(now int64, from string, m Msg) []post.PeerMessage[Msg] {
+	_, messages := n.Table.Receive(now, from, m)
+	return messages
 }
 
 func viewOf(self string, names []string) members.View {
@@ -27,7 +27,7 @@
 	return v
 }
 
-func senders(n int, seed uint64) (*mesh.Mesh[Msg], []*Table) {
+func newMesh(n int, seed uint64) (*mesh.Mesh[Msg], []*Table) {
 	names := make([]string, n)
 	for i := range names {
 		names[i] = fmt.Sprintf("sender-%04d", i)
@@ -35,31 +35,31 @@
 	m := mesh.New[Msg](names, seed)
 	ts := make([]*Table, n)
 	for i, name := range names {
-		timing, room := Usual()
+		timing, room := Defaults()
 		ts[i] = New(name, 1, timing, room)
-		ts[i].View(0, viewOf(name, names))
+		ts[i].SetView(0, viewOf(name, names))
 		m.Nodes[i] = node{ts[i]}
 	}
 	return m, ts
 }
 
-var place = Subject{Dst: 7, Receiver: "10.0.0.1:80"}
+var testSubject = Subject{Dst: 7, Receiver: "10.0.0.1:80"}
 
-func TestAWaitToldToOneIsHeededByAll(t *testing.T) {
-	m, ts := senders(30, 3)
-	m.Loss = 0.1
+func TestRetryAfterSpreadsToAllSenders(t *testing.T) {
+	m, ts := newMesh(30, 3)
+	m.LossRate = 0.1
 	m.Run(5e6)
-	m.Post(4, ts[4].Own(m.Now, Fact{Subject: place, Kind: Wait, For: 20e6}))
+	m.Send(4, ts[4].Observe(m.Now, Fact{Subject: testSubject, Kind: RetryAfter, Duration: 20e6}))
 	m.Run(m.Now + 1e6)
 	for _, x := range ts {
-		require.InDelta(t, 19e6, x.Verdict(m.Now, place).Wait, 50_000)
+		require.InDelta(t, 19e6, x.Verdict(m.Now, testSubject).RetryAfter, 50_000)
 	}
-	m.Post(4, ts[4].Withdraw(m.Now, place, Wait))
+	m.Send(4, ts[4].Withdraw(m.Now, testSubject, RetryAfter))
 	m.Run(m.Now + 1e6)
 	for _, x := range ts {
-		require.Zero(t, x.Verdict(m.Now, place).Wait)
+		require.Zero(t, x.Verdict(m.Now, testSubject).RetryAfter)
 	}
-	m.Run(m.Now + GreatestWait + 1e6)
+	m.Run(m.Now + MaxAgeRetryAfter + 1e6)
 	for _, x := range ts {
 		require.Zero(t, x.Len())
 	}
--- a/internal/verdicts/view.go
+++ b/internal/verdicts/view.go
@@ -6,78 +6,78 @@
 	"strings"
 )
 
-// ownHolds is the part of its greatest age through which own sight stands against younger hearsay.
-const ownHolds = 4
+// ownPrecedence divides the maximum age; for that long, an own observation takes precedence over newer ones of others.
+const ownPrecedence = 4
 
-// Of lists the facts on a subject that count now: by kind, own sight first, then the youngest. Own sight hides hearsay that is older, and
-// any while it is young itself; waits are heeded whoever they were told to.
-func (t *Table) Of(now int64, s Subject) []Fact {
+// Facts returns the active facts on a subject, sorted by kind, own observations first, then by age. An own observation hides older ones of
+// others, and any while it is recent itself; a retry-after counts whichever sender was told.
+func (t *Table) Facts(now int64, s Subject) []Fact {
 	own := map[slot]entry{}
-	for _, h := range t.subjects[s] {
-		if h.Origin == t.self && h.counts(now) {
-			own[h.Kind.slot()] = h.entry
+	for _, r := range t.subjects[s] {
+		if r.Origin == t.self && r.active(now) {
+			own[r.Kind.slot()] = r.entry
 		}
 	}
 	var facts []Fact
-	for _, h := range t.subjects[s] {
-		if !h.counts(now) {
+	for _, r := range t.subjects[s] {
+		if !r.active(now) {
 			continue
 		}
-		o, seen := own[h.Kind.slot()]
-		if seen && h.Origin != t.self && h.Kind != Wait && (h.seen <= o.seen || now-o.seen < o.Kind.Greatest()/ownHolds) {
+		o, hasOwn := own[r.Kind.slot()]
+		if hasOwn && r.Origin != t.self && r.Kind != RetryAfter && (r.latestSeen <= o.latestSeen || now-o.latestSeen < o.Kind.MaxAge()/ownPrecedence) {
 			continue
 		}
-		facts = append(facts, h.at(now))
+		facts = append(facts, r.factAt(now))
 	}
 	slices.SortStableFunc(facts, func(a, b Fact) int {
-		return cmp.Or(cmp.Compare(a.Kind, b.Kind), bit(b.Origin == t.self)-bit(a.Origin == t.self), cmp.Compare(a.Age, b.Age),
+		return cmp.Or(cmp.Compare(a.Kind, b.Kind), boolToInt(b.Origin == t.self)-boolToInt(a.Origin == t.self), cmp.Compare(a.Age, b.Age),
 			strings.Compare(a.Origin, b.Origin))
 	})
 	return facts
 }
 
-// Verdict is what the facts on a subject come to.
+// Verdict summarizes the facts on a subject.
 type Verdict struct {
-	Down   bool
-	Since  int64   // µs that it has been down
-	Back   bool    // after it was down
-	Warm   float64 // 0 to 1, of one that is back
-	Wait   int64   // µs left of the longest wait told; 0 for none
-	Limit  float64 // calls a second; 0 for none told
-	Scarce bool
-	Share  float64 // of the connections wanted that can be had, where scarce
+	Down        bool
+	DownFor     int64   // µs that it has been down
+	Recovered   bool    // after it was down
+	Warmth      float64 // 0 to 1, if recovered
+	RetryAfter  int64   // µs left of the longest retry-after; 0 for none
+	Limit       float64 // calls per second; 0 for none
+	ConnsScarce bool
+	ConnShare   float64 // fraction of the wanted connections available, if scarce
 }
 
-// Verdict sums up Of: the youngest fact of a kind stands, of waits the longest.
+// Verdict summarizes Facts: the most recent fact of a kind counts, and the longest retry-after.
 func (t *Table) Verdict(now int64, s Subject) Verdict {
 	var v Verdict
-	youngest := map[slot]Fact{}
-	for _, f := range t.Of(now, s) {
-		if f.Kind == Wait {
-			v.Wait = max(v.Wait, f.Left())
+	latest := map[slot]Fact{}
+	for _, f := range t.Facts(now, s) {
+		if f.Kind == RetryAfter {
+			v.RetryAfter = max(v.RetryAfter, f.Remaining())
 			continue
 		}
-		if y, ok := youngest[f.Kind.slot()]; !ok || f.Age < y.Age {
-			youngest[f.Kind.slot()] = f
+		if y, ok := latest[f.Kind.slot()]; !ok || f.Age < y.Age {
+			latest[f.Kind.slot()] = f
 		}
 	}
-	switch f := youngest[Down.slot()]; f.Kind {
+	switch f := latest[Down.slot()]; f.Kind {
 	case Down:
-		v.Down, v.Since = true, f.For+f.Age
-	case Back:
-		v.Back, v.Warm = true, f.Level
+		v.Down, v.DownFor = true, f.Duration+f.Age
+	case Recovered:
+		v.Recovered, v.Warmth = true, f.Value
 	}
-	if f, ok := youngest[Scarce.slot()]; ok {
-		v.Scarce, v.Share = true, f.Level
+	if f, ok := latest[ConnsScarce.slot()]; ok {
+		v.ConnsScarce, v.ConnShare = true, f.Value
 	}
-	v.Limit = youngest[Limit.slot()].Level
+	v.Limit = latest[Limit.slot()].Value
 	return v
 }
 
-// Subjects lists what anything is known of, sorted.
+// Subjects returns the subjects of all facts, sorted.
 func (t *Table) Subjects() []Subject { return slices.Clone(t.order) }
 
-// Len is how many facts are in the table, those withdrawn or too old to count among them.
+// Len returns the number of facts, including withdrawn and expired ones.
 func (t *Table) Len() int {
 	n := 0
 	for _, hs := range t.subjects {
