--- a/internal/fleettest/return_test.go
+++ b/internal/fleettest/return_test.go
@@ -114,7 +114,7 @@
 // message taken on ends, none that must not run twice does, and no request is read and left without an answer.
 func TestSoak(t *testing.T) {
 	t.Parallel()
-	seeds := []uint64{1, 2, 3} // the third with copies of answers
+	seeds := []uint64{1, 2, 3}                                       // the third with copies of answers
 	if n, err := strconv.Atoi(os.Getenv(soakSeedsVar)); err == nil { // so many, by hand
 		seeds = nil
 		for i := range n {
